--- a/comfreywind/decisions/scheduling/past_load.py
+++ b/comfreywind/decisions/scheduling/past_load.py
@@ -29,7 +29,7 @@
 
     Timed and lasting jobs are no part of a demand that comes by turns and have none.
     """
-    if job.lasting or job.occurrence_count:
+    if job.long_running or job.occurrence_count:
         return []
     works: list[PastWork] = []
     for step in job.steps:
--- a/comfreywind/decisions/scheduling/work_order.py
+++ b/comfreywind/decisions/scheduling/work_order.py
@@ -20,7 +20,7 @@
     handed in beyond its weight.
     """
 
-    lasting: bool
+    long_running: bool
     excess: bool
     priority: int
     accepted_ms: float
@@ -38,7 +38,7 @@
     waits behind those that can, because its worth then is a fraction; among late jobs those that
     are done soonest come first.
     """
-    if standing.lasting:
+    if standing.long_running:
         return (0, standing.accepted_ms)
     due_ms = standing.accepted_ms + standing.objective_ms
     on_time = now_ms + standing.remaining_ms <= due_ms
--- a/comfreywind/jobs/job.py
+++ b/comfreywind/jobs/job.py
@@ -25,9 +25,9 @@
     interval_ms: int = 0
 
     @property
-    def lasting(self) -> bool:
+    def long_running(self) -> bool:
         """Return whether the job runs until it is cancelled."""
-        return any(step.lasting for step in self.steps)
+        return any(step.long_running for step in self.steps)
 
     def count_occurrences(self) -> int:
         """Return how many times the steps run."""
--- a/comfreywind/jobs/step.py
+++ b/comfreywind/jobs/step.py
@@ -26,7 +26,7 @@
     preferred_rack: str = ''
     target_limit: int = 0
     speculative: bool = False
-    lasting: bool = False
+    long_running: bool = False
     image: str = ''
     tail_limit_ms: int = 0
     filler: bool = False
--- a/comfreywind/platform/caller_codec.py
+++ b/comfreywind/platform/caller_codec.py
@@ -126,7 +126,7 @@
         preferred_rack=step.affinity,
         target_limit=step.max_per_server,
         speculative=step.speculative,
-        lasting=step.long_running,
+        long_running=step.long_running,
         image=step.image,
         tail_limit_ms=step.target_ms,
         filler=bool(step.fill_count),
--- a/comfreywind/report/job_report.py
+++ b/comfreywind/report/job_report.py
@@ -81,7 +81,7 @@
 
 def _explain_wait(job: Job, progress: Progress) -> str:
     """Say what the job waits for, as far as its rows tell; the holder's log has the rest."""
-    if job.lasting:
+    if job.long_running:
         return 'its cancelling; lasting tasks run until then'
     if job.occurrence_count:
         return 'the times of its occurrences and their ends'
--- a/comfreywind/scheduling/board.py
+++ b/comfreywind/scheduling/board.py
@@ -335,7 +335,7 @@
 
     def _is_lasting(self, key: TaskKey) -> bool:
         record = self.jobs.get(key.job_id)
-        return record is not None and record.open and record.job.steps[key.step].lasting
+        return record is not None and record.open and record.job.steps[key.step].long_running
 
     def _read_step_health(self, job_id: str, occurrence: int, number: int) -> StepHealth:
         record = self.jobs[job_id]
@@ -384,8 +384,8 @@
     def _note_outcome(
         self, record: JobRecord, target: TargetRecord, ended: EndedRun, now_s: float
     ) -> None:
-        lasting = record.job.steps[ended.key.step].lasting
-        if ended.outcome is RunOutcome.DONE and not lasting:
+        long_running = record.job.steps[ended.key.step].long_running
+        if ended.outcome is RunOutcome.DONE and not long_running:
             target.failure_streak = 0
             for key in record.list_represented(ended.key):
                 if record.note_done(key):
@@ -425,7 +425,7 @@
             target.entry.target_id,
             len(failed_runs),
         )
-        if record.job.steps[key.step].lasting:
+        if record.job.steps[key.step].long_running:
             return
         record.progress.failures[task] = failed_runs
         if len(failed_runs) >= record.job.queue.attempt_limit and record.open:
@@ -564,5 +564,5 @@
         now_s,
         tail_limit_ms=step.tail_limit_ms,
         filler=step.filler,
-        lasting=step.lasting,
+        long_running=step.long_running,
     )
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -122,7 +122,7 @@
     def _describe(self, record: JobRecord) -> JobStanding:
         queue = self._board.rules.queues.get(record.job.queue.name, record.job.queue)
         return JobStanding(
-            lasting=record.job.lasting,
+            long_running=record.job.long_running,
             excess=record.excess,
             priority=queue.priority,
             accepted_ms=max(record.job.accepted_ms, record.job.first_due_ms),
@@ -257,7 +257,7 @@
             self._now_s,
             tail_limit_ms=step.tail_limit_ms,
             filler=step.filler,
-            lasting=step.lasting,
+            long_running=step.long_running,
         )
         self._board.add_run(run, record)
 
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -42,7 +42,7 @@
         """
         vms = 0
         for record in self.waiting:
-            if not record.job.lasting:
+            if not record.job.long_running:
                 continue
             step = record.job.steps[next(iter(record.waiting)).step]
             request = find_request(step)
--- a/comfreywind/scheduling/run_record.py
+++ b/comfreywind/scheduling/run_record.py
@@ -48,11 +48,11 @@
     progressed_s: float = 0
     tail_limit_ms: int = 0
     filler: bool = False
-    lasting: bool = False
+    long_running: bool = False
 
     def is_stalled(self, now_s: float) -> bool:
         """Return whether a short task that has worked stands still."""
-        short = not self.lasting and not self.filler
+        short = not self.long_running and not self.filler
         working = self.state is RunState.RUNNING and self.progressed_s > 0
         unfinished = self.percent < FULL_PERCENT
         return short and working and unfinished and now_s - self.progressed_s >= STALL_S
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -239,7 +239,7 @@
             return 0
         if any(run.state is not RunState.RUNNING for run in record.runs.values()):
             return int(UNSETTLED_WAIT_S * MS_PER_S)
-        if any(run.lasting and not run.at_work for run in record.runs.values()):
+        if any(run.long_running and not run.at_work for run in record.runs.values()):
             return int(WARM_UP_WAIT_S * MS_PER_S)
         return int(LONGEST_WAIT_S * MS_PER_S)
 
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -50,7 +50,7 @@
         unavailable = self.entry.draining or self.leaving or self.emptying
         unheard = self.silent or not self.reported
         # After a row of failures one task shows whether the target works again.
-        short_runs = not all(run.lasting for run in self.runs.values())
+        short_runs = not all(run.long_running for run in self.runs.values())
         probing = self.failure_streak > 1 and short_runs
         return not (unavailable or unheard or probing) and now_s >= self.barred_until_s
 
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -229,7 +229,7 @@
 def test_crowded_step_is_spread() -> None:
     """Guards against a VM that can't go down because it has two tasks of a step that may miss one."""
     rig = BoardRig(targets=3)
-    rig.add_job(make_job(Step(3, Resources(1000, 100), lasting=True, unavailable_limit=1)))
+    rig.add_job(make_job(Step(3, Resources(1000, 100), long_running=True, unavailable_limit=1)))
     assert len({order.target_id for order in rig.start()}) == 3
 
 
@@ -240,7 +240,7 @@
     being ordered showed the task at work again.
     """
     rig = BoardRig(targets=2)
-    rig.add_job(make_job(Step(2, Resources(1000, 100), lasting=True, unavailable_limit=1)))
+    rig.add_job(make_job(Step(2, Resources(1000, 100), long_running=True, unavailable_limit=1)))
     first, second = rig.start()
     for order in (first, second):
         rig.report(order.target_id, active=((order.key, order.run_id),))
@@ -326,7 +326,7 @@
 def test_fillers_are_paced(tail_ms: float, percent: int | None) -> None:
     """Guards against users whose responses stay slow because of fillers beside their tasks."""
     rig = BoardRig(targets=1)
-    serving = Step(1, Resources(1000, 100), lasting=True, tail_limit_ms=100)
+    serving = Step(1, Resources(1000, 100), long_running=True, tail_limit_ms=100)
     rig.add_job(make_job(serving, Step(1, Resources(1000, 100), filler=True)))
     orders = rig.start()
     active = tuple((order.key, order.run_id) for order in orders)
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize(
     ('first', 'second', 'now_ms'),
     [
-        (stand(lasting=True), stand(), 0),
+        (stand(long_running=True), stand(), 0),
         (stand(), stand(excess=True), 0),
         (stand(priority=0), stand(priority=1), 0),
         (stand(accepted_ms=-500), stand(), 0),
--- a/tests/scheduling/test_pool_sizer.py
+++ b/tests/scheduling/test_pool_sizer.py
@@ -77,7 +77,7 @@
     of its pool had 48 GB and two thirds of its cores free, and the pool was not enlarged.
     """
     rig = BoardRig(targets=4)
-    rig.add_job(make_job(Step(8, Resources(100, 6_000), lasting=True)))
+    rig.add_job(make_job(Step(8, Resources(100, 6_000), long_running=True)))
     rig.start()
     standby = Vm('vm9', 'standby', True, 'dc', frozenset(), Resources(4000, 10_000), 'off')
     sizer = PoolSizer(rig.board, POLICY)
@@ -88,9 +88,9 @@
 def test_scattered_room(target_limit: int, moves: int) -> None:
     """Guards against lasting tasks that wait while the free memory of a pool lies in small pieces."""
     rig = BoardRig(targets=4)
-    rig.add_job(make_job(Step(4, Resources(100, 6_000), lasting=True)))
+    rig.add_job(make_job(Step(4, Resources(100, 6_000), long_running=True)))
     rig.start()
-    step = Step(2, Resources(100, 5_000), lasting=True, target_limit=target_limit)
+    step = Step(2, Resources(100, 5_000), long_running=True, target_limit=target_limit)
     rig.add_job(make_job(step, job_id='00000000000000a2'))
     assert not rig.plan()
     off = Vm('', 'standby', True, 'dc', frozenset(), Resources(4000, 10_000), 'off')
--- a/tests/scheduling/test_room_index.py
+++ b/tests/scheduling/test_room_index.py
@@ -39,7 +39,7 @@
     required_label=st.sampled_from(['', 'big']),
     preferred_rack=st.sampled_from(['', 'r1']),
     target_limit=st.integers(0, 2),
-    lasting=st.booleans(),
+    long_running=st.booleans(),
     filler=st.booleans(),
     unavailable_limit=st.integers(0, 1),
 )
@@ -66,7 +66,7 @@
                 continue
             yield (
                 room.target_id in avoided,
-                step.lasting and room.due,
+                step.long_running and room.due,
                 count if step.unavailable_limit else 0,
                 step.filler and room.serving,
                 bool(step.preferred_rack) and step.preferred_rack not in room.labels,
--- a/tests/scheduling/test_surges_across_holders.py
+++ b/tests/scheduling/test_surges_across_holders.py
@@ -97,5 +97,5 @@
 )
 def test_other_jobs_are_no_turn(fields: dict[str, int]) -> None:
     """Guards against timed and lasting work that is taken for a turn."""
-    lasting = bool(fields.pop('lasting', False))
-    assert list_past_work(make_job(Step(1, TASK, lasting=lasting), **fields)) == []
+    long_running = bool(fields.pop('lasting', False))
+    assert list_past_work(make_job(Step(1, TASK, long_running=long_running), **fields)) == []
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -188,13 +188,13 @@
 @pytest.mark.parametrize(
     ('lasting', 'at_work', 'wait_ms'), [(1, 0, 500), (1, 1, 1000), (0, 0, 1000)]
 )
-def test_wait_for_report(lasting: int, at_work: int, wait_ms: int) -> None:
+def test_wait_for_report(long_running: int, at_work: int, wait_ms: int) -> None:
     """Guards against lasting tasks that are seen at work a second late, which holds up upkeep."""
     rig = BoardRig(targets=1)
     rig.add_job()
     (order,) = rig.start()
     run = rig.board.targets['t0'].runs[order.key]
-    run.lasting, run.at_work = bool(lasting), bool(at_work)
+    run.long_running, run.at_work = bool(long_running), bool(at_work)
     link = make_link(rig, FakeTarget(rig))
     link._clock_offset_ms = 0
     assert link._find_wait_ms() == wait_ms
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_upkeep_rounds.py
@@ -42,7 +42,7 @@
         """Run a lasting step with a task on each VM, of which few may be away; half of them are due."""
         self.rig = BoardRig(targets=2 * VMS, cpu=2_000)
         step = Step(
-            2 * VMS, Resources(1_000, 100), lasting=True, unavailable_limit=unavailable_limit
+            2 * VMS, Resources(1_000, 100), long_running=True, unavailable_limit=unavailable_limit
         )
         self.rig.add_job(make_job(step))
         vm = Vm('', POOL, True, 'dc', frozenset(), Resources(2_000, 100), '')
