--- a/comfreywind/decisions/scheduling/placement.py
+++ b/comfreywind/decisions/scheduling/placement.py
@@ -23,7 +23,7 @@
 
 def find_request(step: Step) -> Resources:
     """Return what a task takes from the room of a target: a filler takes no processor time."""
-    if not step.filler:
+    if not step.best_effort:
         return step.request
     return Resources(0, step.request.memory_mb, step.request.accelerators)
 
--- a/comfreywind/decisions/scheduling/room_index.py
+++ b/comfreywind/decisions/scheduling/room_index.py
@@ -98,4 +98,10 @@
 def _find_rank(step: Step, avoided: bool, same_step: int, room: TargetRoom) -> Rank:
     remote = bool(step.preferred_rack) and step.preferred_rack not in room.labels
     crowd = same_step if step.unavailable_limit else 0
-    return (avoided, step.long_running and room.due, crowd, step.filler and room.serving, remote)
+    return (
+        avoided,
+        step.long_running and room.due,
+        crowd,
+        step.best_effort and room.serving,
+        remote,
+    )
--- a/comfreywind/jobs/step.py
+++ b/comfreywind/jobs/step.py
@@ -29,5 +29,5 @@
     long_running: bool = False
     image: str = ''
     tail_limit_ms: int = 0
-    filler: bool = False
+    best_effort: bool = False
     unavailable_limit: int = 0
--- a/comfreywind/platform/caller_codec.py
+++ b/comfreywind/platform/caller_codec.py
@@ -129,6 +129,6 @@
         long_running=step.long_running,
         image=step.image,
         tail_limit_ms=step.target_ms,
-        filler=bool(step.fill_count),
+        best_effort=bool(step.fill_count),
         unavailable_limit=step.max_unavailable,
     )
--- a/comfreywind/scheduling/board.py
+++ b/comfreywind/scheduling/board.py
@@ -467,7 +467,7 @@
         ]
         orders: list[Order] = []
         for run in target.runs.values():
-            if not run.filler or run.state is not RunState.RUNNING:
+            if not run.best_effort or run.state is not RunState.RUNNING:
                 continue
             percent = choose_pace(run.pace_percent, max(ratios, default=0))
             if percent != run.pace_percent:
@@ -563,6 +563,6 @@
         now_s,
         now_s,
         tail_limit_ms=step.tail_limit_ms,
-        filler=step.filler,
+        best_effort=step.best_effort,
         long_running=step.long_running,
     )
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -256,7 +256,7 @@
             self._now_s,
             self._now_s,
             tail_limit_ms=step.tail_limit_ms,
-            filler=step.filler,
+            best_effort=step.best_effort,
             long_running=step.long_running,
         )
         self._board.add_run(run, record)
--- a/comfreywind/scheduling/run_record.py
+++ b/comfreywind/scheduling/run_record.py
@@ -47,12 +47,12 @@
     percent: int = 0
     progressed_s: float = 0
     tail_limit_ms: int = 0
-    filler: bool = False
+    best_effort: bool = False
     long_running: bool = False
 
     def is_stalled(self, now_s: float) -> bool:
         """Return whether a short task that has worked stands still."""
-        short = not self.long_running and not self.filler
+        short = not self.long_running and not self.best_effort
         working = self.state is RunState.RUNNING and self.progressed_s > 0
         unfinished = self.percent < FULL_PERCENT
         return short and working and unfinished and now_s - self.progressed_s >= STALL_S
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -327,7 +327,7 @@
     """Guards against users whose responses stay slow because of fillers beside their tasks."""
     rig = BoardRig(targets=1)
     serving = Step(1, Resources(1000, 100), long_running=True, tail_limit_ms=100)
-    rig.add_job(make_job(serving, Step(1, Resources(1000, 100), filler=True)))
+    rig.add_job(make_job(serving, Step(1, Resources(1000, 100), best_effort=True)))
     orders = rig.start()
     active = tuple((order.key, order.run_id) for order in orders)
     paces = rig.report('t0', active=active, levels={orders[0].key: tail_ms})
--- a/tests/scheduling/test_room_index.py
+++ b/tests/scheduling/test_room_index.py
@@ -40,7 +40,7 @@
     preferred_rack=st.sampled_from(['', 'r1']),
     target_limit=st.integers(0, 2),
     long_running=st.booleans(),
-    filler=st.booleans(),
+    best_effort=st.booleans(),
     unavailable_limit=st.integers(0, 1),
 )
 NAMES = st.frozensets(st.sampled_from([f't{number}' for number in range(12)]))
@@ -68,7 +68,7 @@
                 room.target_id in avoided,
                 step.long_running and room.due,
                 count if step.unavailable_limit else 0,
-                step.filler and room.serving,
+                step.best_effort and room.serving,
                 bool(step.preferred_rack) and step.preferred_rack not in room.labels,
                 room.free.cpu_millicores,
                 room.target_id,
