--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -28,8 +28,8 @@
     CANCEL_SUFFIX,
     TABLE_INTAKE,
     TABLE_PROGRESS,
-    find_intake_part,
-    find_progress_part,
+    compute_intake_partition,
+    compute_progress_partition,
 )
 from comfreywind.platform.concurrent_calls import run_together
 from comfreywind.platform.rows_client import RowsClient
@@ -109,7 +109,7 @@
                 RowChange(TABLE_INTAKE, f'{job_id}{CANCEL_SUFFIX}', b'cancelled'),
             ]
             try:
-                await self._rows.commit(find_progress_part(job_id), changes)
+                await self._rows.commit(compute_progress_partition(job_id), changes)
             except RowsChangedError:
                 log.info('job %s: progress changed while it was being cancelled', job_id)
             else:
@@ -119,7 +119,7 @@
 
     async def _insert(self, change: RowChange, job: Job, permit: Permit) -> bool:
         try:
-            await self._rows.commit(find_intake_part(change.key), [change], permit)
+            await self._rows.commit(compute_intake_partition(change.key), [change], permit)
         except RowsChangedError as error:
             for row in error.rows:
                 self._check_owner(row, job)
@@ -163,8 +163,8 @@
         async def read(table: str, part: str) -> None:
             found[table] = await self._rows.read_row(table, part, job_id)
 
-        read_accepted = partial(read, TABLE_INTAKE, find_intake_part(job_id))
-        readings = [partial(read, TABLE_PROGRESS, find_progress_part(job_id))]
+        read_accepted = partial(read, TABLE_INTAKE, compute_intake_partition(job_id))
+        readings = [partial(read, TABLE_PROGRESS, compute_progress_partition(job_id))]
         if with_accepted:
             readings.append(read_accepted)
         await run_together(readings)
--- a/comfreywind/jobs/tables.py
+++ b/comfreywind/jobs/tables.py
@@ -9,24 +9,24 @@
 TABLE_TERM = 'comfreywind-term'
 
 # The renewals of the term wait for no other write.
-TERM_PART = 'term'
+TERM_PARTITION = 'term'
 TERM_KEY = 'holder'
-HOLDER_PART = 'holder'
+HOLDER_PARTITION = 'holder'
 ROSTER_KEY = 'roster'
 ORDERS_KEY = 'orders'
 CANCEL_SUFFIX = ':cancel'
 # A store that is 100 times slower takes two transactions a second in a part: callers hand in up to
 # sixty jobs a second, each a transaction of its own.
-INTAKE_PARTS = tuple(f'i{number:02d}' for number in range(32))
+INTAKE_PARTITIONS = tuple(f'i{number:02d}' for number in range(32))
 # The holder writes the progress of many jobs in one transaction of each part.
-PROGRESS_PARTS = tuple(f'p{number}' for number in range(4))
+PROGRESS_PARTITIONS = tuple(f'p{number}' for number in range(4))
 
 
-def find_intake_part(job_id: str) -> str:
+def compute_intake_partition(job_id: str) -> str:
     """Return the part that holds an accepted job; the id is hexadecimal."""
-    return INTAKE_PARTS[int(job_id, 16) % len(INTAKE_PARTS)]
+    return INTAKE_PARTITIONS[int(job_id, 16) % len(INTAKE_PARTITIONS)]
 
 
-def find_progress_part(job_id: str) -> str:
+def compute_progress_partition(job_id: str) -> str:
     """Return the part that holds the progress of a job, and the mark of its cancelling."""
-    return PROGRESS_PARTS[int(job_id, 16) % len(PROGRESS_PARTS)]
+    return PROGRESS_PARTITIONS[int(job_id, 16) % len(PROGRESS_PARTITIONS)]
--- a/comfreywind/platform/rows_client.py
+++ b/comfreywind/platform/rows_client.py
@@ -80,7 +80,7 @@
             return page.rows[0]
         return StoredRow(table, part, key, None, 0)
 
-    async def read_part(self, table: str, part: str) -> RowPage:
+    async def read_partition(self, table: str, part: str) -> RowPage:
         """Return all rows of a part; the version is that of the first page."""
         rows: list[StoredRow] = []
         version: int | None = None
@@ -93,12 +93,12 @@
             version = page.version if version is None else version
         return RowPage(tuple(rows), version or 0)
 
-    async def read_parts(self, table: str, parts: Iterable[str]) -> list[RowPage]:
+    async def read_partitions(self, table: str, parts: Iterable[str]) -> list[RowPage]:
         """Return all rows of each part in the order of the parts, asked for at the same time."""
         pages: dict[str, RowPage] = {}
 
         async def read(part: str) -> None:
-            pages[part] = await self.read_part(table, part)
+            pages[part] = await self.read_partition(table, part)
 
         wanted = tuple(parts)
         await run_together([partial(read, part) for part in wanted])
--- a/comfreywind/report/fleet_report.py
+++ b/comfreywind/report/fleet_report.py
@@ -10,9 +10,9 @@
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
     CANCEL_SUFFIX,
-    HOLDER_PART,
-    INTAKE_PARTS,
-    PROGRESS_PARTS,
+    HOLDER_PARTITION,
+    INTAKE_PARTITIONS,
+    PROGRESS_PARTITIONS,
     TABLE_INTAKE,
     TABLE_PROGRESS,
     TABLE_TERM,
@@ -36,7 +36,7 @@
         raise JobMissingError(f'the rules in force name no queue {queue}')
     progress = {
         row.key: row
-        for page in await rows.read_parts(TABLE_PROGRESS, PROGRESS_PARTS)
+        for page in await rows.read_partitions(TABLE_PROGRESS, PROGRESS_PARTITIONS)
         for row in page.rows
     }
     jobs = [job for job in await _read_jobs(rows) if job.queue.name == queue]
@@ -50,7 +50,7 @@
     rules = await _read_rules(rows)
     states: Counter[tuple[str, bool]] = Counter()
     millicores: Counter[str] = Counter()
-    for row in (await rows.read_part(TABLE_SERVERS, '')).rows:
+    for row in (await rows.read_partition(TABLE_SERVERS, '')).rows:
         entry = decode_target(row.key, row.payload or b'')
         if entry is None:
             continue
@@ -81,10 +81,10 @@
 
 async def read_wave_report(rows: RowsClient) -> list[Cells]:
     """Return the waves of upkeep: number, VMs, done, most at once, seconds granted."""
-    done_row = await rows.read_row(TABLE_TERM, HOLDER_PART, UPKEEP_KEY)
+    done_row = await rows.read_row(TABLE_TERM, HOLDER_PARTITION, UPKEEP_KEY)
     done = decode_upkeep(done_row.payload)
     waves: list[Cells] = []
-    for row in (await rows.read_part(TABLE_OPERATOR, '')).rows:
+    for row in (await rows.read_partition(TABLE_OPERATOR, '')).rows:
         wave = decode_wave(row.payload or b'') if row.key.startswith(PREFIX_WAVE) else None
         if wave is not None:
             finished = len(done.get(wave.wave, ()))
@@ -104,7 +104,7 @@
     """Return the stored jobs without those that are being removed."""
     accepted = [
         decode_accepted(row.payload)
-        for page in await rows.read_parts(TABLE_INTAKE, INTAKE_PARTS)
+        for page in await rows.read_partitions(TABLE_INTAKE, INTAKE_PARTITIONS)
         for row in page.rows
         if row.payload is not None and not row.key.endswith(CANCEL_SUFFIX)
     ]
--- a/comfreywind/report/job_report.py
+++ b/comfreywind/report/job_report.py
@@ -12,9 +12,9 @@
     TABLE_PROGRESS,
     TABLE_TERM,
     TERM_KEY,
-    TERM_PART,
-    find_intake_part,
-    find_progress_part,
+    TERM_PARTITION,
+    compute_intake_partition,
+    compute_progress_partition,
 )
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.scheduling.term_row import TermRow, decode_term
@@ -26,8 +26,8 @@
 async def read_job_report(rows: RowsClient, job_id: str) -> list[ReportRow]:
     """Return names and values that describe a job; raise JobMissingError when there is none."""
     # Progress is removed before the last row of a job.
-    progress_row = await rows.read_row(TABLE_PROGRESS, find_progress_part(job_id), job_id)
-    job_row = await rows.read_row(TABLE_INTAKE, find_intake_part(job_id), job_id)
+    progress_row = await rows.read_row(TABLE_PROGRESS, compute_progress_partition(job_id), job_id)
+    job_row = await rows.read_row(TABLE_INTAKE, compute_intake_partition(job_id), job_id)
     if job_row.payload is None:
         raise JobMissingError(f'no job {job_id} is stored')
     progress = decode_stored_progress(progress_row.payload)
@@ -36,7 +36,7 @@
 
 async def read_holder_report(rows: RowsClient) -> list[ReportRow]:
     """Return who holds the term and how many jobs of each queue have not begun."""
-    row = await rows.read_row(TABLE_TERM, TERM_PART, TERM_KEY)
+    row = await rows.read_row(TABLE_TERM, TERM_PARTITION, TERM_KEY)
     term = decode_term(row.payload) if row.payload else TermRow('', 0)
     state = 'released' if term.released else 'held'
     report: list[ReportRow] = [('holder', term.holder), ('term', term.epoch), ('state', state)]
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -15,8 +15,8 @@
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
     CANCEL_SUFFIX,
-    INTAKE_PARTS,
-    PROGRESS_PARTS,
+    INTAKE_PARTITIONS,
+    PROGRESS_PARTITIONS,
     TABLE_INTAKE,
     TABLE_PROGRESS,
 )
@@ -112,7 +112,7 @@
         intake = RowFeed(
             self._rows,
             TABLE_INTAKE,
-            (*INTAKE_PARTS, *PROGRESS_PARTS),
+            (*INTAKE_PARTITIONS, *PROGRESS_PARTITIONS),
             self._take_intake,
             self._clock,
             after=self._progress_loaded,
@@ -194,7 +194,7 @@
         await run_together((self._read_progress, self._roster.load, self._turns.load))
 
     async def _read_progress(self) -> None:
-        for page in await self._rows.read_parts(TABLE_PROGRESS, PROGRESS_PARTS):
+        for page in await self._rows.read_partitions(TABLE_PROGRESS, PROGRESS_PARTITIONS):
             for row in page.rows:
                 self._note_old_progress(row)
 
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -16,8 +16,8 @@
     CANCEL_SUFFIX,
     TABLE_INTAKE,
     TABLE_PROGRESS,
-    find_intake_part,
-    find_progress_part,
+    compute_intake_partition,
+    compute_progress_partition,
 )
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
@@ -89,11 +89,15 @@
 
     async def sweep(self) -> None:
         """Remove the jobs that are due; raise StoreUnavailableError when the store gives no answer."""
-        await self._commit_all(self._list_due(), find_intake_part, self._replace)
+        await self._commit_all(self._list_due(), compute_intake_partition, self._replace)
         uncleared = [each for each in self._removals.values() if not each.cleared]
-        await self._commit_all([each.job_id for each in uncleared], find_progress_part, self._clear)
+        await self._commit_all(
+            [each.job_id for each in uncleared], compute_progress_partition, self._clear
+        )
         cleared = [each for each in self._removals.values() if each.cleared]
-        await self._commit_all([each.job_id for each in cleared], find_intake_part, self._remove)
+        await self._commit_all(
+            [each.job_id for each in cleared], compute_intake_partition, self._remove
+        )
         if cleared:
             log.info('%d ended jobs removed', len(cleared))
 
@@ -179,7 +183,9 @@
         removal = self._removals.get(row.key)
         if removal is None or removal.progress_version == row.version:
             return
-        tombstone = await self._rows.read_row(TABLE_INTAKE, find_intake_part(row.key), row.key)
+        tombstone = await self._rows.read_row(
+            TABLE_INTAKE, compute_intake_partition(row.key), row.key
+        )
         if tombstone.version == removal.version:
             removal.progress_version = 0 if row.payload is None else row.version
         else:
--- a/comfreywind/scheduling/progress_journal.py
+++ b/comfreywind/scheduling/progress_journal.py
@@ -8,7 +8,7 @@
 from comfreywind.jobs.job_codec import decode_progress, encode_progress
 from comfreywind.jobs.job_state import JobState
 from comfreywind.jobs.row_format import RowFormatError
-from comfreywind.jobs.tables import TABLE_PROGRESS, find_progress_part
+from comfreywind.jobs.tables import TABLE_PROGRESS, compute_progress_partition
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.board import Board
@@ -85,7 +85,7 @@
     async def _store_parts(self, changed: list[JobRecord]) -> bool:
         by_part: dict[str, list[JobRecord]] = {}
         for record in changed:
-            by_part.setdefault(find_progress_part(record.job.job_id), []).append(record)
+            by_part.setdefault(compute_progress_partition(record.job.job_id), []).append(record)
         stored: list[bool] = []
 
         async def store_part(part: str, records: list[JobRecord]) -> None:
--- a/comfreywind/scheduling/roster.py
+++ b/comfreywind/scheduling/roster.py
@@ -9,7 +9,7 @@
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.http.client import Permit
 from comfreywind.jobs.row_format import RowFormatError
-from comfreywind.jobs.tables import HOLDER_PART, ROSTER_KEY, TABLE_TERM
+from comfreywind.jobs.tables import HOLDER_PARTITION, ROSTER_KEY, TABLE_TERM
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.board import Board
@@ -57,7 +57,7 @@
 
     async def load(self) -> None:
         """Read what earlier holders stored; raise StoreUnavailableError without an answer."""
-        self._take_earlier(await self._rows.read_row(TABLE_TERM, HOLDER_PART, ROSTER_KEY))
+        self._take_earlier(await self._rows.read_row(TABLE_TERM, HOLDER_PARTITION, ROSTER_KEY))
 
     def forget_earlier(self) -> None:
         """Drop targets of earlier holders once all that may run there is known."""
@@ -97,7 +97,7 @@
         self._written_s = self._clock.read_monotonic_s()
         change = RowChange(TABLE_TERM, ROSTER_KEY, encode_roster(wanted), self._version)
         try:
-            self._version = await self._rows.commit(HOLDER_PART, [change], self._permit)
+            self._version = await self._rows.commit(HOLDER_PARTITION, [change], self._permit)
         except RowsChangedError as error:
             for row in error.rows:
                 self._version = row.version
--- a/comfreywind/scheduling/row_feed.py
+++ b/comfreywind/scheduling/row_feed.py
@@ -87,7 +87,7 @@
     async def _read_whole(self, asked_s: float) -> int:
         rows: list[StoredRow] = []
         versions: list[int] = []
-        for page in await self._rows.read_parts(self._table, self._parts):
+        for page in await self._rows.read_partitions(self._table, self._parts):
             rows.extend(page.rows)
             versions.append(page.version)
         if self._after is not None:
--- a/comfreywind/scheduling/settlement.py
+++ b/comfreywind/scheduling/settlement.py
@@ -8,7 +8,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.scheduling.handover import may_settle
 from comfreywind.errors import StoreUnavailableError
-from comfreywind.jobs.tables import PROGRESS_PARTS, TABLE_PROGRESS
+from comfreywind.jobs.tables import PROGRESS_PARTITIONS, TABLE_PROGRESS
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.progress_journal import ProgressJournal
@@ -78,7 +78,7 @@
         )
 
     async def _join_progress(self) -> None:
-        for page in await self._rows.read_parts(TABLE_PROGRESS, PROGRESS_PARTS):
+        for page in await self._rows.read_partitions(TABLE_PROGRESS, PROGRESS_PARTITIONS):
             for row in page.rows:
                 record = self._board.jobs.get(row.key)
                 if record is not None and row.version > record.progress_version:
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -22,7 +22,7 @@
 )
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.jobs.row_format import RowFormatError
-from comfreywind.jobs.tables import TABLE_TERM, TERM_KEY, TERM_PART
+from comfreywind.jobs.tables import TABLE_TERM, TERM_KEY, TERM_PARTITION
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.term_row import TermRow, decode_term, encode_term
@@ -129,7 +129,7 @@
         )
         change = RowChange(TABLE_TERM, TERM_KEY, encode_term(row), self._version)
         try:
-            await self._rows.commit(TERM_PART, [change])
+            await self._rows.commit(TERM_PARTITION, [change])
         except RowsChangedError as error:
             for stored in error.rows:
                 self._observe(stored)
@@ -141,7 +141,7 @@
 
     async def _take_step(self) -> None:
         if self._held is None:
-            self._observe(await self._rows.read_row(TABLE_TERM, TERM_PART, TERM_KEY))
+            self._observe(await self._rows.read_row(TABLE_TERM, TERM_PARTITION, TERM_KEY))
         step = decide_term_step(self._describe(), self._held is not None)
         if step is TermStep.WAIT or self._stopping:
             return
@@ -194,7 +194,7 @@
             self._bound_term(sent_s, row.term_s)
         change = RowChange(TABLE_TERM, TERM_KEY, encode_term(row), self._version)
         try:
-            version = await self._rows.commit(TERM_PART, [change])
+            version = await self._rows.commit(TERM_PARTITION, [change])
         except RowsChangedError as error:
             self._settle_conflict(error.rows)
             return
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -16,7 +16,7 @@
 )
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.jobs.row_format import RowFormatError
-from comfreywind.jobs.tables import HOLDER_PART, TABLE_TERM
+from comfreywind.jobs.tables import HOLDER_PARTITION, TABLE_TERM
 from comfreywind.jobs.upkeep_wave import UpkeepWave
 from comfreywind.jobs.vm import Vm
 from comfreywind.platform.rows_client import RowsClient
@@ -108,7 +108,7 @@
     async def _load(self) -> None:
         while True:
             try:
-                row = await self._rows.read_row(TABLE_TERM, HOLDER_PART, UPKEEP_KEY)
+                row = await self._rows.read_row(TABLE_TERM, HOLDER_PARTITION, UPKEEP_KEY)
             except StoreUnavailableError as error:
                 log.info('upkeep not read yet: %s', error)
                 await trio.sleep(INTERVAL_S)
@@ -305,7 +305,7 @@
             return
         change = RowChange(TABLE_TERM, UPKEEP_KEY, encode_upkeep(self._done), self._done_version)
         try:
-            self._done_version = await self._rows.commit(HOLDER_PART, [change])
+            self._done_version = await self._rows.commit(HOLDER_PARTITION, [change])
         except RowsChangedError as error:
             for row in error.rows:
                 self._done_version = row.version
--- a/tests/field_faults/test_malformed_message.py
+++ b/tests/field_faults/test_malformed_message.py
@@ -113,7 +113,7 @@
 class TwoRows:
     """A store whose feed has two changes."""
 
-    async def read_parts(self, table: str, parts: tuple[str, ...]) -> list[RowPage]:
+    async def read_partitions(self, table: str, parts: tuple[str, ...]) -> list[RowPage]:
         """Return an empty table."""
         return [RowPage((), 1) for _ in parts]
 
--- a/tests/scheduling/test_foreign_rows.py
+++ b/tests/scheduling/test_foreign_rows.py
@@ -7,15 +7,15 @@
 from comfreywind.jobs.job_codec import encode_job
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
-    HOLDER_PART,
+    HOLDER_PARTITION,
     ROSTER_KEY,
     TABLE_INTAKE,
     TABLE_PROGRESS,
     TABLE_TERM,
     TERM_KEY,
-    TERM_PART,
-    find_intake_part,
-    find_progress_part,
+    TERM_PARTITION,
+    compute_intake_partition,
+    compute_progress_partition,
 )
 from comfreywind.scheduling.term_row import decode_roster, decode_term
 from tests.helpers.board_rig import JOB_ID, make_job
@@ -36,8 +36,10 @@
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         fleet.scopes[0].cancel()
         store = fleet.store.store
-        write_row(store, TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID, encode_job(make_job()))
-        write_row(store, TABLE_PROGRESS, find_progress_part(JOB_ID), JOB_ID, garbage)
+        write_row(
+            store, TABLE_INTAKE, compute_intake_partition(JOB_ID), JOB_ID, encode_job(make_job())
+        )
+        write_row(store, TABLE_PROGRESS, compute_progress_partition(JOB_ID), JOB_ID, garbage)
         async with fleet.run_node('node-1') as node:
             await run_other_job(fleet, node)
             # What the job has done is not known, so a start could repeat it.
@@ -53,18 +55,22 @@
         await run_other_job(fleet, 0)
         assert await fleet.submit(0, JOB_ID, spec='work_s=0.6') == 200
         await fleet.wait_for_state(0, JOB_ID, 'in_progress')
-        write_row(store, TABLE_PROGRESS, find_progress_part(JOB_ID), JOB_ID, garbage)
+        write_row(store, TABLE_PROGRESS, compute_progress_partition(JOB_ID), JOB_ID, garbage)
         await fleet.wait_for_state(0, JOB_ID, 'complete')
 
 
-@pytest.mark.parametrize(('part', 'key'), [(TERM_PART, TERM_KEY), (HOLDER_PART, ROSTER_KEY)])
+@pytest.mark.parametrize(
+    ('part', 'key'), [(TERM_PARTITION, TERM_KEY), (HOLDER_PARTITION, ROSTER_KEY)]
+)
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x91\x63', b'\x01'])
 async def test_unreadable_term_rows(part: str, key: str, garbage: bytes) -> None:
     """Guards against a fleet in which no node can take the term any more."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         fleet.scopes[0].cancel()
         store = fleet.store.store
-        write_row(store, TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID, encode_job(make_job()))
+        write_row(
+            store, TABLE_INTAKE, compute_intake_partition(JOB_ID), JOB_ID, encode_job(make_job())
+        )
         write_row(store, TABLE_TERM, part, key, garbage)
         async with fleet.run_node('node-1') as node:
             await fleet.wait_for_state(node, JOB_ID, 'complete')
@@ -74,7 +80,7 @@
     """Guards against a holder that ends, or keeps a term that its row no longer shows."""
     async with run_job_fleet(node_count=2, target_count=1) as fleet:
         await run_other_job(fleet, 0)
-        write_row(fleet.store.store, TABLE_TERM, TERM_PART, TERM_KEY, b'\xc1')
+        write_row(fleet.store.store, TABLE_TERM, TERM_PARTITION, TERM_KEY, b'\xc1')
         await trio.sleep(1)
         assert await fleet.submit(1, JOB_ID) == 200
         await fleet.wait_for_state(0, JOB_ID, 'complete')
--- a/tests/scheduling/test_holder.py
+++ b/tests/scheduling/test_holder.py
@@ -11,15 +11,15 @@
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.queue import Queue
 from comfreywind.jobs.tables import (
-    HOLDER_PART,
+    HOLDER_PARTITION,
     ROSTER_KEY,
     TABLE_INTAKE,
     TABLE_PROGRESS,
     TABLE_TERM,
     TERM_KEY,
-    TERM_PART,
-    find_intake_part,
-    find_progress_part,
+    TERM_PARTITION,
+    compute_intake_partition,
+    compute_progress_partition,
 )
 from comfreywind.scheduling.term_row import TermRow, decode_term, encode_roster, encode_term
 from comfreywind.stand_ins.jobs.row_store import RowStore
@@ -42,14 +42,20 @@
         fleet.scopes[0].cancel()
         store, target = fleet.store.store, fleet.targets[0]
         queue = Queue('rebuild', QUEUE_HOST, '/rebuild/', 'crossings', attempt_limit=3)
-        part = find_progress_part(JOB_ID)
+        part = compute_progress_partition(JOB_ID)
         write_row(
-            store, TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID, encode_job(make_job(queue=queue))
+            store,
+            TABLE_INTAKE,
+            compute_intake_partition(JOB_ID),
+            JOB_ID,
+            encode_job(make_job(queue=queue)),
         )
         write_row(store, TABLE_PROGRESS, part, JOB_ID, encode_progress(Progress()))
-        write_row(store, TABLE_TERM, HOLDER_PART, ROSTER_KEY, encode_roster(frozenset(('i-0',))))
+        write_row(
+            store, TABLE_TERM, HOLDER_PARTITION, ROSTER_KEY, encode_roster(frozenset(('i-0',)))
+        )
         released = TermRow('node-9', 7, released=True)
-        write_row(store, TABLE_TERM, TERM_PART, TERM_KEY, encode_term(released))
+        write_row(store, TABLE_TERM, TERM_PARTITION, TERM_KEY, encode_term(released))
 
         def store_end() -> None:
             done = Progress(JobState.COMPLETE, {(0, 0, 0)})
@@ -79,10 +85,14 @@
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         fleet.scopes[0].cancel()
         store = fleet.store.store
-        write_row(store, TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID, encode_job(make_job()))
-        write_row(store, TABLE_TERM, HOLDER_PART, ROSTER_KEY, encode_roster(frozenset(('i-0',))))
+        write_row(
+            store, TABLE_INTAKE, compute_intake_partition(JOB_ID), JOB_ID, encode_job(make_job())
+        )
+        write_row(
+            store, TABLE_TERM, HOLDER_PARTITION, ROSTER_KEY, encode_roster(frozenset(('i-0',)))
+        )
         released = TermRow('node-9', 7, released=True)
-        write_row(store, TABLE_TERM, TERM_PART, TERM_KEY, encode_term(released))
+        write_row(store, TABLE_TERM, TERM_PARTITION, TERM_KEY, encode_term(released))
         fleet.store.faults.delay_s = delay_s
         async with fleet.run_node('node-1'):
             with trio.fail_after(10):
@@ -95,5 +105,5 @@
 
 def is_taken(store: RowStore) -> bool:
     """Return whether a node has taken term 8."""
-    stored = store.rows[TABLE_TERM, TERM_PART, TERM_KEY].value
+    stored = store.rows[TABLE_TERM, TERM_PARTITION, TERM_KEY].value
     return stored is not None and decode_term(base64.b64decode(stored)).epoch == 8
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -21,8 +21,8 @@
     CANCEL_SUFFIX,
     TABLE_INTAKE,
     TABLE_PROGRESS,
-    find_intake_part,
-    find_progress_part,
+    compute_intake_partition,
+    compute_progress_partition,
 )
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling import holder, job_retention
@@ -100,8 +100,8 @@
         self.retention = JobRetention(
             self.rows, self.board, RETENTION_S, self.clock, lambda: self.permitted
         )
-        accepted = self.client.read((TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID))
-        progress = self.client.read((TABLE_PROGRESS, find_progress_part(JOB_ID), JOB_ID))
+        accepted = self.client.read((TABLE_INTAKE, compute_intake_partition(JOB_ID), JOB_ID))
+        progress = self.client.read((TABLE_PROGRESS, compute_progress_partition(JOB_ID), JOB_ID))
         if accepted.payload is None:
             return
         if isinstance(decode_accepted(accepted.payload), EndedJob):
@@ -112,7 +112,7 @@
 
     async def store_job(self) -> None:
         """Store the job, its progress and the mark of a cancelling."""
-        intake, other = find_intake_part(JOB_ID), find_progress_part(JOB_ID)
+        intake, other = compute_intake_partition(JOB_ID), compute_progress_partition(JOB_ID)
         await self.rows.commit(intake, [RowChange(TABLE_INTAKE, JOB_ID, encode_job(make_job()))])
         progress = encode_progress(Progress(self.state))
         mark = RowChange(TABLE_INTAKE, f'{JOB_ID}{CANCEL_SUFFIX}', b'x')
@@ -212,7 +212,7 @@
     assert await store.accept(make_job(), lambda: True)
     version = rig.client.store.version
     change = RowChange(TABLE_PROGRESS, JOB_ID, encode_progress(Progress(JobState.RUNNING)), 0)
-    await rig.rows.commit(find_progress_part(JOB_ID), [change])
+    await rig.rows.commit(compute_progress_partition(JOB_ID), [change])
     for _ in range(2):
         if told:
             rig.retention.note_accepted(JOB_ID, version)
@@ -234,7 +234,7 @@
     store = JobStore(rig.rows, 65_536, RETENTION_S, rig.clock)
     assert await store.accept(make_job(), lambda: True)
     change = RowChange(TABLE_PROGRESS, JOB_ID, encode_progress(Progress(JobState.RUNNING)), 0)
-    await rig.rows.commit(find_progress_part(JOB_ID), [change])
+    await rig.rows.commit(compute_progress_partition(JOB_ID), [change])
     for _ in range(2):
         await rig.sweep()
     assert rig.client.count() == 2
--- a/tests/test_jobs_command.py
+++ b/tests/test_jobs_command.py
@@ -11,7 +11,7 @@
 from comfreywind.jobs.job_codec import encode_tombstone
 from comfreywind.jobs.job_owner import JobOwner
 from comfreywind.jobs.job_state import JobState
-from comfreywind.jobs.tables import TABLE_INTAKE, find_intake_part
+from comfreywind.jobs.tables import TABLE_INTAKE, compute_intake_partition
 from tests.helpers.program import ProgramResult, run_program
 
 JOB = '00000000000000c1'
@@ -97,7 +97,7 @@
         store = str(fleet.store_address)
         owner = JobOwner('crews', 'rebuild', QUEUE_HOST, PREFIX)
         tombstone = base64.b64encode(encode_tombstone(EndedJob(owner, JobState.FAILED))).decode()
-        name = (TABLE_INTAKE, find_intake_part(JOB), JOB)
+        name = (TABLE_INTAKE, compute_intake_partition(JOB), JOB)
         fleet.store.store.apply([], [(*name, tombstone)])
         shown = await run_jobs('show', JOB, '--store', store)
         assert 'failed' in shown.stdout
