--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -160,8 +160,8 @@
         """Return the progress row and, if asked for, the accepted job or what its tombstone tells."""
         found: dict[str, StoredRow] = {}
 
-        async def read(table: str, part: str) -> None:
-            found[table] = await self._rows.read_row(table, part, job_id)
+        async def read(table: str, partition: str) -> None:
+            found[table] = await self._rows.read_row(table, partition, job_id)
 
         read_accepted = partial(read, TABLE_INTAKE, compute_intake_partition(job_id))
         readings = [partial(read, TABLE_PROGRESS, compute_progress_partition(job_id))]
--- a/comfreywind/platform/rows_client.py
+++ b/comfreywind/platform/rows_client.py
@@ -58,7 +58,7 @@
         return self._store_time
 
     async def commit(
-        self, part: str, changes: Sequence[RowChange], permit: Permit | None = None
+        self, partition: str, changes: Sequence[RowChange], permit: Permit | None = None
     ) -> int:
         """Commit all changes to rows of one part or none; return the version they got.
 
@@ -66,28 +66,28 @@
         store refused the call, or `permit` was False when it was to be sent: nothing was written.
         Raises StoreUnavailableError when the outcome is not known.
         """
-        changed = _encode_changes(part, changes)
+        changed = _encode_changes(partition, changes)
         status, document = await self._call('POST', '/v1/rows-tx', changed, permit)
         if status == STATUS_CONFLICT:
             raise RowsChangedError(_read_rows(document))
         return _read_version(document)
 
-    async def read_row(self, table: str, part: str, key: str) -> StoredRow:
+    async def read_row(self, table: str, partition: str, key: str) -> StoredRow:
         """Return the row, with version 0 when it does not exist."""
         bounds = f'&from={quote(key, safe="")}&to={quote(key, safe="")}%00&limit=1'
-        page = await self._read_page(table, part, bounds)
+        page = await self._read_page(table, partition, bounds)
         if page.rows:
             return page.rows[0]
-        return StoredRow(table, part, key, None, 0)
+        return StoredRow(table, partition, key, None, 0)
 
-    async def read_partition(self, table: str, part: str) -> RowPage:
+    async def read_partition(self, table: str, partition: str) -> RowPage:
         """Return all rows of a part; the version is that of the first page."""
         rows: list[StoredRow] = []
         version: int | None = None
         has_more = True
         while has_more:
             start = f'&from={quote(rows[-1].key, safe="")}%00' if rows else ''
-            page = await self._read_page(table, part, f'{start}&limit={PAGE_ROWS}')
+            page = await self._read_page(table, partition, f'{start}&limit={PAGE_ROWS}')
             rows.extend(page.rows)
             has_more = page.has_more
             version = page.version if version is None else version
@@ -97,12 +97,12 @@
         """Return all rows of each part in the order of the parts, asked for at the same time."""
         pages: dict[str, RowPage] = {}
 
-        async def read(part: str) -> None:
-            pages[part] = await self.read_partition(table, part)
+        async def read(partition: str) -> None:
+            pages[partition] = await self.read_partition(table, partition)
 
         wanted = tuple(parts)
-        await run_together([partial(read, part) for part in wanted])
-        return [pages[part] for part in wanted]
+        await run_together([partial(read, partition) for partition in wanted])
+        return [pages[partition] for partition in wanted]
 
     async def read_changes(self, table: str, after_version: int) -> RowPage:
         """Return rows of the table that changed after the version, waiting for the first.
@@ -118,8 +118,8 @@
             raise HistoryLostError(f'{table}: no history after version {after_version}')
         return _decode_page(_read_document(reply))
 
-    async def _read_page(self, table: str, part: str, bounds: str) -> RowPage:
-        query = f'table_name={quote(table, safe="")}&part={quote(part, safe="")}{bounds}'
+    async def _read_page(self, table: str, partition: str, bounds: str) -> RowPage:
+        query = f'table_name={quote(table, safe="")}&part={quote(partition, safe="")}{bounds}'
         _, document = await self._call('GET', f'/v1/rows-get?{query}')
         return _decode_page(document)
 
@@ -185,9 +185,9 @@
         return int(document['schema_ver'])
 
 
-def _encode_changes(part: str, changes: Sequence[RowChange]) -> dict[str, Any]:
+def _encode_changes(partition: str, changes: Sequence[RowChange]) -> dict[str, Any]:
     rows = [
-        (change, {'table_name': change.table, 'part': part, 'key': change.key})
+        (change, {'table_name': change.table, 'part': partition, 'key': change.key})
         for change in changes
     ]
     return {
--- a/comfreywind/platform/stored_row.py
+++ b/comfreywind/platform/stored_row.py
@@ -8,7 +8,7 @@
     """A row with its version; `payload` is None for a row that does not exist (version 0)."""
 
     table: str
-    part: str
+    partition: str
     key: str
     payload: bytes | None
     version: int
--- a/tests/field_faults/test_handover.py
+++ b/tests/field_faults/test_handover.py
@@ -44,14 +44,14 @@
         self._store = store
         self._random = generator
 
-    async def read_row(self, table: str, part: str, key: str) -> StoredRow:
+    async def read_row(self, table: str, partition: str, key: str) -> StoredRow:
         """Return the row as it is in the middle of the call."""
         await self._travel()
-        row = StoredRow(table, part, key, self._store.payload, self._store.version)
+        row = StoredRow(table, partition, key, self._store.payload, self._store.version)
         await self._travel()
         return row
 
-    async def commit(self, part: str, changes: Sequence[RowChange]) -> int:
+    async def commit(self, partition: str, changes: Sequence[RowChange]) -> int:
         """Write the row when its version is the expected one."""
         await self._travel()
         if self._random.random() < 0.1:
@@ -59,7 +59,7 @@
         (change,) = changes
         if change.expected_version != self._store.version:
             row = StoredRow(
-                change.table, part, change.key, self._store.payload, self._store.version
+                change.table, partition, change.key, self._store.payload, self._store.version
             )
             raise RowsChangedError((row,))
         self._store.payload = change.payload
--- a/tests/field_faults/test_paused_process.py
+++ b/tests/field_faults/test_paused_process.py
@@ -151,11 +151,11 @@
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         commit = RowsClient.commit
 
-        async def pause_then_commit(self: RowsClient, part: str, *rest: object) -> int:
+        async def pause_then_commit(self: RowsClient, partition: str, *rest: object) -> int:
             if len(rest) > 1:
                 fleet.store.write_document('op', 'config', make_config(2, keys=()))
                 await trio.sleep(0.5)
-            return await commit(self, part, *rest)  # type: ignore[arg-type]
+            return await commit(self, partition, *rest)  # type: ignore[arg-type]
 
         monkeypatch.setattr(RowsClient, 'commit', pause_then_commit)
         assert await fleet.submit(0, JOB) == 503
