--- a/comfreywind/jobs/upkeep_wave.py
+++ b/comfreywind/jobs/maintenance_wave.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UpkeepWave:
+class MaintenanceWave:
     """VMs that are due, how many may be down at once, and for how long the wave may take."""
 
     wave: int
--- a/comfreywind/jobs/vm.py
+++ b/comfreywind/jobs/vm.py
@@ -16,4 +16,4 @@
     labels: frozenset[str]
     capacity: Resources
     target_id: str
-    in_upkeep: bool = False
+    in_maintenance: bool = False
--- a/comfreywind/platform/vm_client.py
+++ b/comfreywind/platform/vm_client.py
@@ -96,5 +96,5 @@
         labels=frozenset(machine.get('labels') or ()),
         capacity=Amounts.model_validate(machine.get('capacity') or {}).to_resources(),
         target_id=str(machine.get('id') or ''),
-        in_upkeep=machine['state'] == 'upkeep',
+        in_maintenance=machine['state'] == 'upkeep',
     )
--- a/comfreywind/platform/wave_codec.py
+++ b/comfreywind/platform/wave_codec.py
@@ -5,7 +5,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from comfreywind.jobs.upkeep_wave import UpkeepWave
+from comfreywind.jobs.maintenance_wave import MaintenanceWave
 
 log = logging.getLogger('comfreywind.upkeep')
 
@@ -19,14 +19,14 @@
     cap: int = 1
 
 
-def decode_wave(payload: bytes) -> UpkeepWave | None:
+def decode_wave(payload: bytes) -> MaintenanceWave | None:
     """Return the wave, or None with a log line when it can't be read."""
     try:
         wave = _Wave.model_validate_json(payload)
     except ValidationError as error:
         log.warning("wave can't be read and is ignored: %s", error.errors()[:2])
         return None
-    return UpkeepWave(wave.rollout_wave, tuple(wave.machines), wave.cap, wave.duration_s)
+    return MaintenanceWave(wave.rollout_wave, tuple(wave.machines), wave.cap, wave.duration_s)
 
 
 def encode_wave_state(complete: bool) -> bytes:
--- a/comfreywind/scheduling/rules_follower.py
+++ b/comfreywind/scheduling/rules_follower.py
@@ -4,7 +4,7 @@
 
 from comfreywind.clock import Clock
 from comfreywind.jobs.job_rules import JobRules
-from comfreywind.jobs.upkeep_wave import UpkeepWave
+from comfreywind.jobs.maintenance_wave import MaintenanceWave
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.rules_codec import decode_rules
 from comfreywind.platform.stored_row import StoredRow
@@ -26,7 +26,7 @@
         self._clock = clock
         self._feed = RowFeed(rows, TABLE_OPERATOR, ('',), self._take_row, clock)
         self.rules: JobRules | None = None
-        self.waves: dict[int, UpkeepWave] = {}
+        self.waves: dict[int, MaintenanceWave] = {}
         self._wave_end_s: dict[int, float] = {}
 
     async def run(self) -> None:
@@ -58,7 +58,7 @@
             if wave is not None:
                 self._take_wave(wave)
 
-    def _take_wave(self, wave: UpkeepWave) -> None:
+    def _take_wave(self, wave: MaintenanceWave) -> None:
         end_s = self._clock.read_monotonic_s() + wave.duration_s
         self._wave_end_s.setdefault(wave.wave, end_s)
         self.waves[wave.wave] = wave
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -17,7 +17,7 @@
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import HOLDER_PARTITION, TABLE_TERM
-from comfreywind.jobs.upkeep_wave import UpkeepWave
+from comfreywind.jobs.maintenance_wave import MaintenanceWave
 from comfreywind.jobs.vm import Vm
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
@@ -98,7 +98,7 @@
         """Return whether a wave is not complete."""
         return bool(self._list_open())
 
-    def _list_open(self) -> list[UpkeepWave]:
+    def _list_open(self) -> list[MaintenanceWave]:
         return [
             wave
             for number, wave in self._rules.waves.items()
@@ -126,7 +126,7 @@
         for wave in self._list_open():
             await self._advance(wave, now_s)
 
-    async def _advance(self, wave: UpkeepWave, now_s: float) -> None:
+    async def _advance(self, wave: MaintenanceWave, now_s: float) -> None:
         done = self._done.setdefault(wave.wave, set())
         orders = self._orders.setdefault(wave.wave, {})
         self._settle_orders(orders, done, now_s)
@@ -183,7 +183,7 @@
         self._emptying_since_s.pop(target_id, None)
 
     async def _empty_and_order(
-        self, wave: UpkeepWave, due: list[Vm], orders: dict[str, VmOrder], now_s: float
+        self, wave: MaintenanceWave, due: list[Vm], orders: dict[str, VmOrder], now_s: float
     ) -> None:
         waiting = [vm for vm in due if vm.name not in orders and self._turns.is_open(vm.name)]
         due_targets = frozenset(vm.target_id for vm in waiting)
@@ -214,13 +214,13 @@
             await self._order(wave, vm, orders)
         await self._store_done()
 
-    def _find_others_down(self, wave: UpkeepWave) -> set[str]:
+    def _find_others_down(self, wave: MaintenanceWave) -> set[str]:
         """Return the VMs that are down for upkeep, or may be as an earlier holder ordered them lately."""
         listed = self._watch.vms
         return {
             name
             for name in wave.vms
-            if (name in listed and listed[name].in_upkeep) or not self._turns.is_open(name)
+            if (name in listed and listed[name].in_maintenance) or not self._turns.is_open(name)
         }
 
     def _is_ready(self, vm: Vm, left_s: float) -> bool:
@@ -232,7 +232,7 @@
         return may_go_down(standing, left_s)
 
     async def _order_if_empty(
-        self, wave: UpkeepWave, vm: Vm, orders: dict[str, VmOrder], left_s: float
+        self, wave: MaintenanceWave, vm: Vm, orders: dict[str, VmOrder], left_s: float
     ) -> None:
         # Work may have come to the VM, and others of its steps may be away, since it was looked at.
         if may_go_down(self._describe(vm, self._clock.read_monotonic_s()), left_s):
@@ -278,7 +278,7 @@
             return False
         return now_s - self._term.taken_s < UNSEEN_LAPSE_S
 
-    async def _order(self, wave: UpkeepWave, vm: Vm, orders: dict[str, VmOrder]) -> None:
+    async def _order(self, wave: MaintenanceWave, vm: Vm, orders: dict[str, VmOrder]) -> None:
         if not (self._keeper.is_valid() and self._turns.may_send(vm.name)):
             return
         now_s = self._clock.read_monotonic_s()
@@ -312,7 +312,7 @@
         else:
             self._stored_count = count
 
-    async def _tell(self, wave: UpkeepWave, complete: bool) -> None:
+    async def _tell(self, wave: MaintenanceWave, complete: bool) -> None:
         """Tell the operator how far the wave is; complete once, when nothing is due."""
         if self._told.get(wave.wave) is complete:
             return
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_upkeep_rounds.py
@@ -17,7 +17,7 @@
 from comfreywind.jobs.job_rules import JobRules
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
-from comfreywind.jobs.upkeep_wave import UpkeepWave
+from comfreywind.jobs.maintenance_wave import MaintenanceWave
 from comfreywind.jobs.vm import Vm
 from comfreywind.platform.stored_row import RowChange
 from comfreywind.platform.vm_client import VmOrderAnswer
@@ -59,7 +59,7 @@
         self.unsure: set[str] = set()
         self.most_down = 0
         self.rules = JobRules(1)
-        wave = UpkeepWave(1, tuple(names[:VMS]), VMS, 60)
+        wave = MaintenanceWave(1, tuple(names[:VMS]), VMS, 60)
         self.waves = {1: wave}
 
     def find_wave_end_s(self, wave: int) -> float:
@@ -76,9 +76,11 @@
         taken = self.vms[vm]
         self.orders[vm] += 1
         self.ordered_s = trio.current_time()
-        self.vms[vm] = replace(taken, up=False, in_upkeep=True)
+        self.vms[vm] = replace(taken, up=False, in_maintenance=True)
         down = [
-            name for name in self.waves[1].vms if self.vms[name].in_upkeep or name in self.unsure
+            name
+            for name in self.waves[1].vms
+            if self.vms[name].in_maintenance or name in self.unsure
         ]
         self.most_down = max(self.most_down, len(down))
         self.nursery.start_soon(self._bring_back, taken)
@@ -209,9 +211,11 @@
     any order is on its way. Seen on prevoz-plan-large inc-a037: 6.8 s of a wave lost, one VM late.
     """
     fleet = cast('Any', Fleet(unavailable_limit=2 * VMS))
-    fleet.waves = {1: UpkeepWave(1, fleet.waves[1].vms, LIMIT, 60)}
+    fleet.waves = {1: MaintenanceWave(1, fleet.waves[1].vms, LIMIT, 60)}
     fleet.unsure.update(ordered)
-    fleet.vms.update({name: replace(fleet.vms[name], up=False, in_upkeep=True) for name in listed})
+    fleet.vms.update(
+        {name: replace(fleet.vms[name], up=False, in_maintenance=True) for name in listed}
+    )
     watch = VmWatch(fleet, fleet.rig.board, TrioClock())
     keeper = make_keeper(fleet, watch)
     async with trio.open_nursery() as nursery:
