--- a/comfreywind/entry/operations.py
+++ b/comfreywind/entry/operations.py
@@ -20,7 +20,7 @@
 from comfreywind.platform.object_client import ObjectClient
 from comfreywind.platform.row import Row
 from comfreywind.platform.row_write import MISSING_VERSION
-from comfreywind.platform.settled_write import commit_settled
+from comfreywind.platform.resolved_write import commit_resolved
 from comfreywind.platform.table_client import TableClient
 from comfreywind.platform.table_names import ROW_BUNDLE, TABLE_BUNDLES, TABLE_CURRENT, TABLE_KEYS
 
@@ -129,7 +129,7 @@
 
     async def _commit(self, old: Row, fields: dict[str, Any], conflict_text: str) -> Row:
         try:
-            return await commit_settled(self._tables, old, fields)
+            return await commit_resolved(self._tables, old, fields)
         except RowConflictError as error:
             raise OperationRefusedError(conflict_text) from error
 
--- a/comfreywind/platform/settled_write.py
+++ b/comfreywind/platform/resolved_write.py
@@ -16,7 +16,7 @@
 log = logging.getLogger('comfreywind.platform')
 
 
-async def commit_settled(tables: TableClient, old: Row, fields: dict[str, Any]) -> Row:
+async def commit_resolved(tables: TableClient, old: Row, fields: dict[str, Any]) -> Row:
     """Write the fields to the row as it was read and return the new row.
 
     `old` has version 0 for a row that must not exist. The row gets a write id, by which a write
