--- a/comfreywind/decisions/scheduling/past_load.py
+++ b/comfreywind/decisions/scheduling/past_load.py
@@ -21,7 +21,7 @@
 
     def measure_vm_seconds(self, vm_size: Resources) -> float:
         """Return for how many seconds the work would fill one VM of that size."""
-        return self.total.find_largest_part(vm_size) * (self.end_ms - self.start_ms) / MS_PER_S
+        return self.total.compute_dominant_share(vm_size) * (self.end_ms - self.start_ms) / MS_PER_S
 
 
 def list_past_work(job: Job) -> list[PastWork]:
--- a/comfreywind/jobs/resources.py
+++ b/comfreywind/jobs/resources.py
@@ -36,7 +36,7 @@
             or 0 < ceiling.accelerators < self.accelerators
         )
 
-    def find_largest_part(self, whole: 'Resources') -> float:
+    def compute_dominant_share(self, whole: 'Resources') -> float:
         """Return the part of a whole that this amount takes of its scarcest resource.
 
         What the whole has none of does not count.
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -42,7 +42,9 @@
             size = sizes[pool]
             surges = self._find_surges(pool)
             for at_ms, load in sample_load(works, from_ms, now_ms, RECALL_INTERVAL_MS):
-                surges.note_load(load.find_largest_part(size), now_s - (now_ms - at_ms) / MS_PER_S)
+                surges.note_load(
+                    load.compute_dominant_share(size), now_s - (now_ms - at_ms) / MS_PER_S
+                )
 
     def note_jobs(self, works: Mapping[str, PoolWork], now_s: float) -> None:
         """Take in the jobs that have come since the last look, with the pools as they are now."""
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -32,7 +32,7 @@
             for record in self.waiting
             for key in record.waiting
         )
-        return len(self.targets) * running.add(waiting).find_largest_part(capacity)
+        return len(self.targets) * running.add(waiting).compute_dominant_share(capacity)
 
     def count_vms_for_lasting(self) -> int:
         """Return how many empty VMs the lasting tasks that wait would take.
