--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -20,7 +20,7 @@
     encode_job,
     encode_progress,
 )
-from comfreywind.jobs.job_owner import JobOwner, find_owner
+from comfreywind.jobs.job_owner import JobOwner, get_owner
 from comfreywind.jobs.job_state import JobState
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.queue import Queue
@@ -125,13 +125,13 @@
                 self._check_owner(row, job)
             return False
         self._ended.drop(job.job_id)
-        self._owners.put(job.job_id, find_owner(job))
+        self._owners.put(job.job_id, get_owner(job))
         return True
 
     def _check_owner(self, row: StoredRow, job: Job) -> None:
         if row.payload is None:
             return
-        if not find_owner(decode_accepted(row.payload)).admits(job.team, job.queue):
+        if not get_owner(decode_accepted(row.payload)).admits(job.team, job.queue):
             raise JobIdTakenError(f'the id {job.job_id} is in use')
 
     async def _find_progress(
@@ -141,7 +141,7 @@
         owner = self._owners.get(job_id)
         progress_row, accepted = await self._read_job(job_id, owner is None)
         if accepted is not None:
-            owner = find_owner(accepted)
+            owner = get_owner(accepted)
         if owner is None:
             return None
         progress = decode_stored_progress(progress_row.payload)
--- a/comfreywind/jobs/ended_job.py
+++ b/comfreywind/jobs/ended_job.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from comfreywind.jobs.job_owner import JobOwner, find_owner
+from comfreywind.jobs.job_owner import JobOwner, get_owner
 from comfreywind.jobs.job_state import JobState
 
 
@@ -14,6 +14,6 @@
     state: JobState
 
 
-@find_owner.register
+@get_owner.register
 def _find_ended_owner(ended: EndedJob) -> JobOwner:
     return ended.owner
--- a/comfreywind/jobs/job.py
+++ b/comfreywind/jobs/job.py
@@ -33,7 +33,7 @@
         """Return how many times the steps run."""
         return max(self.occurrence_count, 1)
 
-    def find_due_ms(self, occurrence: int) -> int:
+    def compute_due_ms(self, occurrence: int) -> int:
         """Return when the occurrence may start; 0 for a job that is not timed."""
         if not self.occurrence_count:
             return 0
--- a/comfreywind/jobs/job_codec.py
+++ b/comfreywind/jobs/job_codec.py
@@ -7,7 +7,7 @@
 
 from comfreywind.jobs.ended_job import EndedJob
 from comfreywind.jobs.job import Job
-from comfreywind.jobs.job_limits import find_excess
+from comfreywind.jobs.job_limits import describe_exceeded_limit
 from comfreywind.jobs.job_owner import JobOwner
 from comfreywind.jobs.job_state import JobState
 from comfreywind.jobs.progress import Progress
@@ -55,7 +55,7 @@
 
 def _check_job(job: Job) -> tuple[Job, str | None]:
     """Return the job and which limit it is beyond; raise TypeError for fields of another type."""
-    return job, find_excess(job)
+    return job, describe_exceeded_limit(job)
 
 
 def encode_progress(progress: Progress) -> bytes:
--- a/comfreywind/jobs/job_limits.py
+++ b/comfreywind/jobs/job_limits.py
@@ -12,7 +12,7 @@
 TIME_LIMIT_MS = 10**14
 
 
-def find_excess(job: Job) -> str | None:
+def describe_exceeded_limit(job: Job) -> str | None:
     """Return which field of a job is beyond which limit, or None when all are within."""
     if len(job.steps) > STEP_LIMIT:
         return f'steps: a job has at most {STEP_LIMIT}'
--- a/comfreywind/jobs/job_owner.py
+++ b/comfreywind/jobs/job_owner.py
@@ -32,11 +32,11 @@
 
 
 @singledispatch
-def find_owner(accepted: object) -> JobOwner:
+def get_owner(accepted: object) -> JobOwner:
     """Return the owner of a job, or of one of which a tombstone is left."""
     raise TypeError(f'unknown row of a job {accepted!r}')
 
 
-@find_owner.register
+@get_owner.register
 def _find_job_owner(job: Job) -> JobOwner:
     return JobOwner(job.team, job.queue.name, job.queue.host, job.queue.prefix)
--- a/comfreywind/platform/caller_codec.py
+++ b/comfreywind/platform/caller_codec.py
@@ -13,7 +13,7 @@
     TASK_LIMIT,
     TEXT_LIMIT_CHARACTERS,
     TIME_LIMIT_MS,
-    find_excess,
+    describe_exceeded_limit,
 )
 from comfreywind.jobs.job_state import JobState
 from comfreywind.jobs.queue import Queue
@@ -93,7 +93,7 @@
 
 def _check_size(job: Job, row_limit_bytes: int) -> None:
     """Refuse a job that could not be scheduled or whose row the store would refuse."""
-    excess = find_excess(job)
+    excess = describe_exceeded_limit(job)
     if excess is not None:
         raise JobRequestError(f'the job is too large: {excess}')
     # The store counts the encoded value, a third longer.
--- a/comfreywind/platform/store_time.py
+++ b/comfreywind/platform/store_time.py
@@ -13,10 +13,10 @@
     asked_s: float
     answered_s: float
 
-    def find_earliest_ms(self, now_s: float) -> float:
+    def compute_earliest_ms(self, now_s: float) -> float:
         """Return a lower bound of the store's clock now."""
         return self.store_ms + (now_s - self.answered_s) * MS_PER_S
 
-    def find_latest_ms(self, now_s: float) -> float:
+    def compute_latest_ms(self, now_s: float) -> float:
         """Return an upper bound of the store's clock now."""
         return self.store_ms + (now_s - self.asked_s) * MS_PER_S
--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -104,7 +104,7 @@
             if step_key in self.unlocked or not self.left_in_step[step_key]:
                 continue
             occurrence, number = step_key
-            due = self.job.find_due_ms(occurrence) <= now_ms
+            due = self.job.compute_due_ms(occurrence) <= now_ms
             earlier = self.job.steps[number].after
             if due and not any(self.left_in_step[occurrence, step] for step in earlier):
                 unlocked.append(step_key)
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -10,7 +10,7 @@
 from comfreywind.http.client import Permit
 from comfreywind.jobs.ended_job import EndedJob
 from comfreywind.jobs.job_codec import decode_accepted, encode_tombstone
-from comfreywind.jobs.job_owner import find_owner
+from comfreywind.jobs.job_owner import get_owner
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
     CANCEL_SUFFIX,
@@ -136,7 +136,7 @@
         jobs = self._board.jobs
         records = [jobs[each] for each in job_ids if each in jobs and each in self._versions]
         for record in records:
-            ended = EndedJob(find_owner(record.job), record.progress.state)
+            ended = EndedJob(get_owner(record.job), record.progress.state)
             job_id = record.job.job_id
             version = self._versions[job_id]
             changes.append(RowChange(TABLE_INTAKE, job_id, encode_tombstone(ended), version))
--- a/comfreywind/scheduling/order_turns.py
+++ b/comfreywind/scheduling/order_turns.py
@@ -104,14 +104,14 @@
     def _find_store_ms(self, at_s: float) -> float:
         """Return an upper bound of the store's clock at the moment."""
         store_time = self._rows.store_time
-        return TIME_UNKNOWN_MS if store_time is None else store_time.find_latest_ms(at_s)
+        return TIME_UNKNOWN_MS if store_time is None else store_time.compute_latest_ms(at_s)
 
     def _is_past(self, until_ms: float, margin_s: float = 0) -> bool:
         """Return whether the turn after the moment is over."""
         store_time = self._rows.store_time
         if store_time is None:
             return False
-        now_ms = store_time.find_earliest_ms(self._clock.read_monotonic_s())
+        now_ms = store_time.compute_earliest_ms(self._clock.read_monotonic_s())
         waited_s = (now_ms - until_ms) / MS_PER_S
         return waited_s >= self._turn_s + ARRIVAL_MARGIN_S + margin_s
 
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -160,7 +160,7 @@
     def _find_start_ms(self) -> float:
         """Return when this process started on the store's clock, or 0 when that is not known."""
         store_time = self._rows.store_time
-        return 0 if store_time is None else store_time.find_latest_ms(self._started_s)
+        return 0 if store_time is None else store_time.compute_latest_ms(self._started_s)
 
     def _describe(self) -> LeaseSighting:
         now_s = self._clock.read_monotonic_s()
@@ -168,7 +168,7 @@
         store_time = self._rows.store_time
         age_s = None
         if row.renewed_ms and store_time is not None:
-            age_s = (store_time.find_earliest_ms(now_s) - row.renewed_ms) / MS_PER_S
+            age_s = (store_time.compute_earliest_ms(now_s) - row.renewed_ms) / MS_PER_S
         return LeaseSighting(
             exists=self._version != 0,
             released=row.released,
@@ -185,7 +185,7 @@
             self._seen_row.epoch + int(step is TermStep.TAKE),
             self._seen_row.renewal + 1,
             term_s=self._next_term_s,
-            renewed_ms=0 if store_time is None else store_time.find_latest_ms(sent_s),
+            renewed_ms=0 if store_time is None else store_time.compute_latest_ms(sent_s),
             pending=self.own_pending,
             refused=self.own_refused,
             started_ms=self._find_start_ms(),
