--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -87,7 +87,7 @@
         """Return the state of a job, or None when a caller of the team has no such job there."""
         ended = self._ended.get(job_id)
         if ended is not None:
-            return ended.state if ended.owner.admits(team, queue) else None
+            return ended.state if ended.owner.allows_access(team, queue) else None
         found = await self._find_progress(job_id, team, queue)
         return None if found is None else found[0].state
 
@@ -131,7 +131,7 @@
     def _check_owner(self, row: StoredRow, job: Job) -> None:
         if row.payload is None:
             return
-        if not get_owner(decode_accepted(row.payload)).admits(job.team, job.queue):
+        if not get_owner(decode_accepted(row.payload)).allows_access(job.team, job.queue):
             raise JobIdTakenError(f'the id {job.job_id} is in use')
 
     async def _find_progress(
@@ -152,7 +152,7 @@
             self._ended.put(job_id, EndedJob(owner, progress.state))
         else:
             self._owners.put(job_id, owner)
-        return (progress, progress_row.version) if owner.admits(team, queue) else None
+        return (progress, progress_row.version) if owner.allows_access(team, queue) else None
 
     async def _read_job(
         self, job_id: str, with_accepted: bool
--- a/comfreywind/jobs/job_owner.py
+++ b/comfreywind/jobs/job_owner.py
@@ -19,7 +19,7 @@
     host: str
     prefix: str
 
-    def admits(self, team: str, queue: Queue) -> bool:
+    def allows_access(self, team: str, queue: Queue) -> bool:
         """Return whether a caller of the team may see and cancel the job through the queue.
 
         On a queue that is open to all, anyone who reaches it may. A job handed in without a key
--- a/tests/test_job_owner.py
+++ b/tests/test_job_owner.py
@@ -30,7 +30,7 @@
 )
 def test_admits(owner: JobOwner, team: str, queue: Queue, admitted: bool) -> None:
     """Guards the rule of who may see and cancel a job."""
-    assert owner.admits(team, queue) is admitted
+    assert owner.allows_access(team, queue) is admitted
 
 
 def add_offices(fleet: JobFleet) -> None:
