--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -15,7 +15,7 @@
 from comfreywind.jobs.ended_job import EndedJob
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.job_codec import (
-    decode_accepted,
+    decode_intake_row,
     decode_stored_progress,
     encode_job,
     encode_progress,
@@ -131,7 +131,7 @@
     def _check_owner(self, row: StoredRow, job: Job) -> None:
         if row.payload is None:
             return
-        if not get_owner(decode_accepted(row.payload)).allows_access(job.team, job.queue):
+        if not get_owner(decode_intake_row(row.payload)).allows_access(job.team, job.queue):
             raise JobIdTakenError(f'the id {job.job_id} is in use')
 
     async def _find_progress(
@@ -185,4 +185,4 @@
 
 def _decode_found(found: dict[str, StoredRow]) -> Job | EndedJob | None:
     row = found.get(TABLE_INTAKE)
-    return None if row is None or row.payload is None else decode_accepted(row.payload)
+    return None if row is None or row.payload is None else decode_intake_row(row.payload)
--- a/comfreywind/jobs/job_codec.py
+++ b/comfreywind/jobs/job_codec.py
@@ -34,7 +34,7 @@
     return _pack([FORMAT_VERSION, TOMBSTONE_MARK, ended.state.value, *astuple(ended.owner)])
 
 
-def decode_accepted(value: bytes) -> Job | EndedJob:
+def decode_intake_row(value: bytes) -> Job | EndedJob:
     """Return the job of a row, or what its tombstone tells; raise RowFormatError when it can't be read."""
     row = _unpack(value)
     if row[1:2] == [TOMBSTONE_MARK]:
--- a/comfreywind/report/fleet_report.py
+++ b/comfreywind/report/fleet_report.py
@@ -4,7 +4,7 @@
 
 from comfreywind.errors import JobMissingError, StoreUnavailableError
 from comfreywind.jobs.job import Job
-from comfreywind.jobs.job_codec import decode_accepted, decode_stored_progress
+from comfreywind.jobs.job_codec import decode_intake_row, decode_stored_progress
 from comfreywind.jobs.job_rules import JobRules
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.row_format import RowFormatError
@@ -103,7 +103,7 @@
 async def _read_jobs(rows: RowsClient) -> list[Job]:
     """Return the stored jobs without those that are being removed."""
     accepted = [
-        decode_accepted(row.payload)
+        decode_intake_row(row.payload)
         for page in await rows.read_partitions(TABLE_INTAKE, INTAKE_PARTITIONS)
         for row in page.rows
         if row.payload is not None and not row.key.endswith(CANCEL_SUFFIX)
--- a/comfreywind/report/job_report.py
+++ b/comfreywind/report/job_report.py
@@ -5,7 +5,7 @@
 from comfreywind.errors import JobMissingError
 from comfreywind.jobs.ended_job import EndedJob
 from comfreywind.jobs.job import Job
-from comfreywind.jobs.job_codec import decode_accepted, decode_stored_progress
+from comfreywind.jobs.job_codec import decode_intake_row, decode_stored_progress
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.tables import (
     TABLE_INTAKE,
@@ -31,7 +31,7 @@
     if job_row.payload is None:
         raise JobMissingError(f'no job {job_id} is stored')
     progress = decode_stored_progress(progress_row.payload)
-    return [('job', job_id), *describe_job(decode_accepted(job_row.payload), progress)]
+    return [('job', job_id), *describe_job(decode_intake_row(job_row.payload), progress)]
 
 
 async def read_holder_report(rows: RowsClient) -> list[ReportRow]:
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -10,7 +10,7 @@
 from comfreywind.decisions.scheduling.pool_size import USUAL_POLICY
 from comfreywind.errors import StoreUnavailableError
 from comfreywind.jobs.ended_job import EndedJob
-from comfreywind.jobs.job_codec import decode_accepted, decode_progress
+from comfreywind.jobs.job_codec import decode_intake_row, decode_progress
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
@@ -273,7 +273,7 @@
             self._wake.set()
             return
         try:
-            accepted = decode_accepted(row.payload)
+            accepted = decode_intake_row(row.payload)
         except RowFormatError as error:
             log.warning('job %s is not read: %s', row.key, error)
             return
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -9,7 +9,7 @@
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.http.client import Permit
 from comfreywind.jobs.ended_job import EndedJob
-from comfreywind.jobs.job_codec import decode_accepted, encode_tombstone
+from comfreywind.jobs.job_codec import decode_intake_row, encode_tombstone
 from comfreywind.jobs.job_owner import get_owner
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
@@ -223,7 +223,7 @@
 
 def _is_tombstone(payload: bytes) -> bool:
     try:
-        return isinstance(decode_accepted(payload), EndedJob)
+        return isinstance(decode_intake_row(payload), EndedJob)
     except RowFormatError as error:
         log.warning('a row that is being removed is left: %s', error)
         return False
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -14,7 +14,7 @@
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.intake.job_store import JobStore
 from comfreywind.jobs.ended_job import EndedJob
-from comfreywind.jobs.job_codec import decode_accepted, encode_job, encode_progress
+from comfreywind.jobs.job_codec import decode_intake_row, encode_job, encode_progress
 from comfreywind.jobs.job_state import JobState
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.tables import (
@@ -104,7 +104,7 @@
         progress = self.client.read((TABLE_PROGRESS, compute_progress_partition(JOB_ID), JOB_ID))
         if accepted.payload is None:
             return
-        if isinstance(decode_accepted(accepted.payload), EndedJob):
+        if isinstance(decode_intake_row(accepted.payload), EndedJob):
             self.retention.note_ended(JOB_ID, accepted.version, progress.version)
             return
         self.retention.note_accepted(JOB_ID, accepted.version)
--- a/tests/test_job_limits.py
+++ b/tests/test_job_limits.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from comfreywind.errors import JobRequestError
-from comfreywind.jobs.job_codec import decode_accepted, encode_job
+from comfreywind.jobs.job_codec import decode_intake_row, encode_job
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.platform.caller_codec import decode_job_request
 from tests.helpers.board_rig import JOB_ID, QUEUE, STEP, TEAM, BoardRig, make_job
@@ -77,7 +77,7 @@
     tracemalloc.start()
     try:
         with pytest.raises(RowFormatError):
-            decode_accepted(row)
+            decode_intake_row(row)
         assert tracemalloc.get_traced_memory()[1] < MEMORY_LIMIT_BYTES
     finally:
         tracemalloc.stop()
@@ -129,6 +129,6 @@
 def test_any_row(row: bytes) -> None:
     """Guards against an error of another type than the one that the holder handles."""
     try:
-        decode_accepted(b'\x97\x01' + row)
+        decode_intake_row(b'\x97\x01' + row)
     except RowFormatError:
         return
