--- a/comfreywind/jobs/run_report.py
+++ b/comfreywind/jobs/run_report.py
@@ -21,15 +21,15 @@
 class ActiveRun:
     """A run under way.
 
-    `at_work_percent` is 100 when a lasting task serves at its full pace. `level` is the tail of the
+    `progress_percent` is 100 when a lasting task serves at its full pace. `level` is the tail of the
     response times in milliseconds for a task that serves, else the millicores in use.
     """
 
     key: TaskKey
     run_id: int
     checkpoint: str
-    at_work_percent: int
-    level: float
+    progress_percent: int
+    metric_value: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/comfreywind/jobs/step.py
+++ b/comfreywind/jobs/step.py
@@ -28,6 +28,6 @@
     speculative: bool = False
     long_running: bool = False
     image: str = ''
-    tail_limit_ms: int = 0
+    tail_latency_limit_ms: int = 0
     best_effort: bool = False
     unavailable_limit: int = 0
--- a/comfreywind/platform/caller_codec.py
+++ b/comfreywind/platform/caller_codec.py
@@ -128,7 +128,7 @@
         speculative=step.speculative,
         long_running=step.long_running,
         image=step.image,
-        tail_limit_ms=step.target_ms,
+        tail_latency_limit_ms=step.target_ms,
         best_effort=bool(step.fill_count),
         unavailable_limit=step.max_unavailable,
     )
--- a/comfreywind/platform/target_client.py
+++ b/comfreywind/platform/target_client.py
@@ -173,8 +173,8 @@
 
 
 def _decode_active(row: list[Any]) -> ActiveRun:
-    level = float(row[4]) if len(row) > 4 else 0
-    return ActiveRun(parse_task_key(row[0]), int(row[1]), str(row[2]), int(row[3]), level)
+    metric_value = float(row[4]) if len(row) > 4 else 0
+    return ActiveRun(parse_task_key(row[0]), int(row[1]), str(row[2]), int(row[3]), metric_value)
 
 
 def _decode_ended(row: list[Any]) -> EndedRun:
--- a/comfreywind/scheduling/board.py
+++ b/comfreywind/scheduling/board.py
@@ -463,7 +463,9 @@
     def _pace_fillers(self, target: TargetRecord) -> list[Order]:
         """Return the orders that keep fillers from harming the tasks that serve beside them."""
         ratios = [
-            run.level / run.tail_limit_ms for run in target.runs.values() if run.tail_limit_ms
+            run.metric_value / run.tail_latency_limit_ms
+            for run in target.runs.values()
+            if run.tail_latency_limit_ms
         ]
         orders: list[Order] = []
         for run in target.runs.values():
@@ -536,10 +538,10 @@
     if run is None or run.run_id != active.run_id:
         return
     run.checkpoint = active.checkpoint or run.checkpoint
-    run.at_work = active.at_work_percent >= 100 and not run.ending
-    run.level = active.level
-    if active.at_work_percent > run.percent or not run.progressed_s:
-        run.percent = active.at_work_percent
+    run.at_work = active.progress_percent >= 100 and not run.ending
+    run.metric_value = active.metric_value
+    if active.progress_percent > run.percent or not run.progressed_s:
+        run.percent = active.progress_percent
         run.progressed_s = now_s
 
 
@@ -562,7 +564,7 @@
         RunState.RUNNING,
         now_s,
         now_s,
-        tail_limit_ms=step.tail_limit_ms,
+        tail_latency_limit_ms=step.tail_latency_limit_ms,
         best_effort=step.best_effort,
         long_running=step.long_running,
     )
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -255,7 +255,7 @@
             RunState.STARTING,
             self._now_s,
             self._now_s,
-            tail_limit_ms=step.tail_limit_ms,
+            tail_latency_limit_ms=step.tail_latency_limit_ms,
             best_effort=step.best_effort,
             long_running=step.long_running,
         )
@@ -315,7 +315,7 @@
         target.entry.target_id,
         target.free,
         target.entry.labels,
-        serving=any(run.tail_limit_ms for run in target.runs.values()),
+        serving=any(run.tail_latency_limit_ms for run in target.runs.values()),
         due=target.due,
     )
 
--- a/comfreywind/scheduling/run_record.py
+++ b/comfreywind/scheduling/run_record.py
@@ -42,11 +42,11 @@
     checkpoint: str = ''
     at_work: bool = False
     ending: bool = False
-    level: float = 0
+    metric_value: float = 0
     pace_percent: int = 100
     percent: int = 0
     progressed_s: float = 0
-    tail_limit_ms: int = 0
+    tail_latency_limit_ms: int = 0
     best_effort: bool = False
     long_running: bool = False
 
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -326,7 +326,7 @@
 def test_fillers_are_paced(tail_ms: float, percent: int | None) -> None:
     """Guards against users whose responses stay slow because of fillers beside their tasks."""
     rig = BoardRig(targets=1)
-    serving = Step(1, Resources(1000, 100), long_running=True, tail_limit_ms=100)
+    serving = Step(1, Resources(1000, 100), long_running=True, tail_latency_limit_ms=100)
     rig.add_job(make_job(serving, Step(1, Resources(1000, 100), best_effort=True)))
     orders = rig.start()
     active = tuple((order.key, order.run_id) for order in orders)
