--- a/comfreywind/jobs/run_report.py
+++ b/comfreywind/jobs/run_report.py
@@ -48,6 +48,6 @@
     """The runs of a target; `clock_ms` is the target's own steady clock."""
 
     clock_ms: int
-    born_ms: int
+    incarnation_start_ms: int
     active: tuple[ActiveRun, ...]
     ended: tuple[EndedRun, ...]
--- a/comfreywind/jobs/target_entry.py
+++ b/comfreywind/jobs/target_entry.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetEntry:
-    """One registered target; `born_ms` differs between two lives under the same id.
+    """One registered target; `incarnation_start_ms` differs between two lives under the same id.
 
     `labels` holds the kind and the rack of its VM.
     """
@@ -20,6 +20,6 @@
     draining: bool
     capacity: Resources
     labels: frozenset[str]
-    born_ms: int
+    incarnation_start_ms: int
     cold_left_ms: int = 0
     remaining_ms: int | None = None
--- a/comfreywind/platform/target_client.py
+++ b/comfreywind/platform/target_client.py
@@ -166,7 +166,7 @@
 def _make_report(document: dict[str, Any]) -> TargetReport:
     return TargetReport(
         clock_ms=int(document['clock_ms']),
-        born_ms=int(document.get('born', 0)),
+        incarnation_start_ms=int(document.get('born', 0)),
         active=tuple(_decode_active(row) for row in document['active']),
         ended=tuple(_decode_ended(row) for row in document['finished']),
     )
--- a/comfreywind/platform/target_codec.py
+++ b/comfreywind/platform/target_codec.py
@@ -47,7 +47,7 @@
         draining=registration.state == 'draining',
         capacity=registration.capacity.to_resources(),
         labels=frozenset(registration.labels),
-        born_ms=registration.born,
+        incarnation_start_ms=registration.born,
         cold_left_ms=registration.cold_left_ms,
         remaining_ms=registration.remaining_ms,
     )
--- a/comfreywind/scheduling/board.py
+++ b/comfreywind/scheduling/board.py
@@ -117,20 +117,20 @@
         """Take in a target's registration; a new life under the same id has no runs."""
         record = self.targets.get(entry.target_id)
         if record is None:
-            record = TargetRecord(entry, born_ms=entry.born_ms)
+            record = TargetRecord(entry, incarnation_start_ms=entry.incarnation_start_ms)
             self.targets[entry.target_id] = record
             return record
-        if entry.born_ms > record.born_ms:
-            self.restart_target(record, entry.born_ms, now_s)
+        if entry.incarnation_start_ms > record.incarnation_start_ms:
+            self.restart_target(record, entry.incarnation_start_ms, now_s)
         record.entry = entry
         return record
 
     # What targets tell
 
-    def restart_target(self, record: TargetRecord, born_ms: int, now_s: float) -> None:
+    def restart_target(self, record: TargetRecord, incarnation_start_ms: int, now_s: float) -> None:
         """Note that the target has a new life, which knows nothing of the runs before."""
         log.info('target %s: new life, %d runs lost', record.entry.target_id, len(record.runs))
-        record.born_ms = born_ms
+        record.incarnation_start_ms = incarnation_start_ms
         record.applied_number = 0
         record.stored_number = 0
         record.acknowledged_number = 0
@@ -148,8 +148,8 @@
         self, record: TargetRecord, report: TargetReport, asked_s: float, now_s: float
     ) -> list[Order]:
         """Take in the lists of a target that were asked for at `asked_s`."""
-        if report.born_ms > record.born_ms:
-            self.restart_target(record, report.born_ms, now_s)
+        if report.incarnation_start_ms > record.incarnation_start_ms:
+            self.restart_target(record, report.incarnation_start_ms, now_s)
         record.reported = True
         record.silent = False
         for ended in report.ended:
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -22,7 +22,7 @@
     entry: TargetEntry
     runs: dict[TaskKey, RunRecord] = field(default_factory=dict)
     used: Resources = NO_RESOURCES
-    born_ms: int = 0
+    incarnation_start_ms: int = 0
     applied_number: int = 0
     stored_number: int = 0
     acknowledged_number: int = 0
--- a/tests/helpers/board_rig.py
+++ b/tests/helpers/board_rig.py
@@ -77,7 +77,7 @@
         target: str,
         active: tuple[tuple[TaskKey, int], ...] = (),
         ended: tuple[tuple[TaskKey, int, RunOutcome], ...] = (),
-        born_ms: int = 1,
+        incarnation_start_ms: int = 1,
         levels: dict[TaskKey, float] | None = None,
         percents: dict[TaskKey, int] | None = None,
     ) -> list[Order]:
@@ -92,7 +92,7 @@
             ActiveRun(key, run_id, '', percent_of.get(key, 100), level_of.get(key, 0))
             for key, run_id in active
         )
-        report = TargetReport(0, born_ms, runs, tuple(rows))
+        report = TargetReport(0, incarnation_start_ms, runs, tuple(rows))
         record = self.board.targets[target]
         return self.board.apply_report(record, report, self.now_s, self.now_s)
 
--- a/tests/platform/test_codecs.py
+++ b/tests/platform/test_codecs.py
@@ -82,7 +82,7 @@
     assert target is not None
     assert target.draining
     assert target.labels == {'a', 'r1-2'}
-    assert (target.born_ms, target.capacity) == (5, Resources(16000, 1000))
+    assert (target.incarnation_start_ms, target.capacity) == (5, Resources(16000, 1000))
 
 
 @pytest.mark.parametrize(
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -184,7 +184,7 @@
     rig = BoardRig(targets=1)
     rig.add_job()
     rig.start()
-    rig.report('t0', born_ms=2)
+    rig.report('t0', incarnation_start_ms=2)
     (again,) = rig.start()
     assert again.run_id == 2
 
