--- a/bench/job_fleet.py
+++ b/bench/job_fleet.py
@@ -146,7 +146,7 @@
 async def run_until_killed(node: Node, scope: trio.CancelScope) -> None:
     """Run a node until its scope is cancelled."""
     with scope:
-        await node.run_parts(trio.Event())
+        await node.run_components(trio.Event())
 
 
 async def wait_until_ready(fleet: JobFleet, node: int) -> None:
--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -31,7 +31,7 @@
     compute_intake_partition,
     compute_progress_partition,
 )
-from comfreywind.platform.concurrent_calls import run_together
+from comfreywind.platform.concurrent_calls import run_concurrently
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 
@@ -167,7 +167,7 @@
         readings = [partial(read, TABLE_PROGRESS, compute_progress_partition(job_id))]
         if with_accepted:
             readings.append(read_accepted)
-        await run_together(readings)
+        await run_concurrently(readings)
         accepted = _decode_found(found)
         if found[TABLE_PROGRESS].payload is None and self._is_old(accepted):
             # It may have been removed between the two readings.
--- a/comfreywind/jobs/job_codec.py
+++ b/comfreywind/jobs/job_codec.py
@@ -13,7 +13,7 @@
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.queue import Queue
 from comfreywind.jobs.resources import Resources
-from comfreywind.jobs.row_format import RowFormatError, reading_row
+from comfreywind.jobs.row_format import RowFormatError, wrap_row_errors
 from comfreywind.jobs.step import Step
 
 FORMAT_VERSION = 1
@@ -38,7 +38,7 @@
     """Return the job of a row, or what its tombstone tells; raise RowFormatError when it can't be read."""
     row = _unpack(value)
     if row[1:2] == [TOMBSTONE_MARK]:
-        with reading_row('tombstone of a job'):
+        with wrap_row_errors('tombstone of a job'):
             return EndedJob(JobOwner(*row[3:]), JobState(row[2]))
     return _decode_job(row)
 
--- a/comfreywind/jobs/row_format.py
+++ b/comfreywind/jobs/row_format.py
@@ -11,7 +11,7 @@
 
 
 @contextlib.contextmanager
-def reading_row(subject: str) -> Iterator[None]:
+def wrap_row_errors(subject: str) -> Iterator[None]:
     """Turn the errors of unpacking a row into RowFormatError, which names the subject."""
     try:
         yield
--- a/comfreywind/node/run.py
+++ b/comfreywind/node/run.py
@@ -58,10 +58,10 @@
         async with trio.open_nursery() as nursery:
             await nursery.start(set_on_termination, termination)
             nursery.start_soon(note_reloads)
-            await self.run_parts(termination)
+            await self.run_components(termination)
             nursery.cancel_scope.cancel()
 
-    async def run_parts(self, termination: trio.Event) -> None:
+    async def run_components(self, termination: trio.Event) -> None:
         """Run until `termination` is set, without a look at signals."""
         async with trio.open_nursery() as nursery:
             for name, work in (
--- a/comfreywind/platform/concurrent_calls.py
+++ b/comfreywind/platform/concurrent_calls.py
@@ -7,7 +7,7 @@
 from comfreywind.errors import StoreUnavailableError
 
 
-async def run_together(calls: Iterable[Callable[[], Awaitable[None]]]) -> None:
+async def run_concurrently(calls: Iterable[Callable[[], Awaitable[None]]]) -> None:
     """Run all calls; when some fail for want of the store, raise the first such error alone."""
     failures: list[StoreUnavailableError] = []
 
--- a/comfreywind/platform/rows_client.py
+++ b/comfreywind/platform/rows_client.py
@@ -17,7 +17,7 @@
 )
 from comfreywind.http.client import HttpClient, HttpReply, Permit
 from comfreywind.metrics import Metrics, NoMetrics
-from comfreywind.platform.concurrent_calls import run_together
+from comfreywind.platform.concurrent_calls import run_concurrently
 from comfreywind.platform.store_call import CALL_FAILURES
 from comfreywind.platform.store_time import StoreTime
 from comfreywind.platform.stored_row import RowChange, RowPage, StoredRow
@@ -101,7 +101,7 @@
             pages[partition] = await self.read_partition(table, partition)
 
         wanted = tuple(parts)
-        await run_together([partial(read, partition) for partition in wanted])
+        await run_concurrently([partial(read, partition) for partition in wanted])
         return [pages[partition] for partition in wanted]
 
     async def read_changes(self, table: str, after_version: int) -> RowPage:
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -22,7 +22,7 @@
 )
 from comfreywind.metrics import Metrics
 from comfreywind.platform.advice_client import AdviceClient
-from comfreywind.platform.concurrent_calls import run_together
+from comfreywind.platform.concurrent_calls import run_concurrently
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import StoredRow
 from comfreywind.platform.target_client import TargetClient
@@ -191,7 +191,7 @@
                 return
 
     async def _read_state(self) -> None:
-        await run_together((self._read_progress, self._roster.load, self._turns.load))
+        await run_concurrently((self._read_progress, self._roster.load, self._turns.load))
 
     async def _read_progress(self) -> None:
         for page in await self._rows.read_partitions(TABLE_PROGRESS, PROGRESS_PARTITIONS):
--- a/comfreywind/scheduling/order_turns.py
+++ b/comfreywind/scheduling/order_turns.py
@@ -8,7 +8,7 @@
 
 from comfreywind.clock import Clock
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
-from comfreywind.jobs.row_format import RowFormatError, reading_row
+from comfreywind.jobs.row_format import RowFormatError, wrap_row_errors
 from comfreywind.jobs.tables import HOLDER_PARTITION, ORDERS_KEY, TABLE_TERM
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
@@ -151,7 +151,7 @@
     """
     if not payload:
         return {}
-    with reading_row('row of ordered VMs'):
+    with wrap_row_errors('row of ordered VMs'):
         document = msgpack.unpackb(payload)
         if isinstance(document, list):
             return dict.fromkeys(map(str, document), TIME_UNKNOWN_MS)
--- a/comfreywind/scheduling/term_row.py
+++ b/comfreywind/scheduling/term_row.py
@@ -4,7 +4,7 @@
 
 import msgpack
 
-from comfreywind.jobs.row_format import RowFormatError, reading_row
+from comfreywind.jobs.row_format import RowFormatError, wrap_row_errors
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
 def decode_term(payload: bytes) -> TermRow:
     """Return the row; raise RowFormatError when it can't be read."""
-    with reading_row('row of the term'):
+    with wrap_row_errors('row of the term'):
         row = TermRow(*msgpack.unpackb(payload))
     if not isinstance(row.epoch, int) or not isinstance(row.renewal, int):
         raise RowFormatError('row of the term: epoch and renewal are whole numbers')
@@ -52,7 +52,7 @@
     """Return the targets that may have runs; raise RowFormatError when the row can't be read."""
     if not payload:
         return frozenset()
-    with reading_row('row of the roster'):
+    with wrap_row_errors('row of the roster'):
         target_ids = frozenset(msgpack.unpackb(payload))
     if not all(isinstance(target_id, str) for target_id in target_ids):
         raise RowFormatError('row of the roster: ids of targets are texts')
--- a/comfreywind/scheduling/upkeep_row.py
+++ b/comfreywind/scheduling/upkeep_row.py
@@ -2,7 +2,7 @@
 
 import msgpack
 
-from comfreywind.jobs.row_format import reading_row
+from comfreywind.jobs.row_format import wrap_row_errors
 
 UPKEEP_KEY = 'upkeep'
 
@@ -17,6 +17,6 @@
     """Return the names of the VMs done in each wave; raise RowFormatError for another format."""
     if not payload:
         return {}
-    with reading_row('row of the upkeep'):
+    with wrap_row_errors('row of the upkeep'):
         waves = dict(msgpack.unpackb(payload, strict_map_key=False))
         return {int(wave): set(names) for wave, names in waves.items()}
