--- a/comfreywind/jobs/tables.py
+++ b/comfreywind/jobs/tables.py
@@ -12,8 +12,8 @@
 TERM_PARTITION = 'term'
 TERM_KEY = 'holder'
 HOLDER_PARTITION = 'holder'
-ROSTER_KEY = 'roster'
-ORDERS_KEY = 'orders'
+TARGET_REGISTRY_KEY = 'roster'
+ORDER_RESERVATIONS_KEY = 'orders'
 CANCEL_SUFFIX = ':cancel'
 # A store that is 100 times slower takes two transactions a second in a part: callers hand in up to
 # sixty jobs a second, each a transaction of its own.
--- a/comfreywind/scheduling/order_turns.py
+++ b/comfreywind/scheduling/order_turns.py
@@ -9,7 +9,7 @@
 from comfreywind.clock import Clock
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.jobs.row_format import RowFormatError, wrap_row_errors
-from comfreywind.jobs.tables import HOLDER_PARTITION, ORDERS_KEY, TABLE_TERM
+from comfreywind.jobs.tables import HOLDER_PARTITION, ORDER_RESERVATIONS_KEY, TABLE_TERM
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.term_keeper import HeldTerm
@@ -55,7 +55,7 @@
 
     async def load(self) -> None:
         """Read what earlier holders ordered; raise StoreUnavailableError without an answer."""
-        row = await self._rows.read_row(TABLE_TERM, HOLDER_PARTITION, ORDERS_KEY)
+        row = await self._rows.read_row(TABLE_TERM, HOLDER_PARTITION, ORDER_RESERVATIONS_KEY)
         self._version = row.version
         self._earlier_ms = self._read_row(row)
 
@@ -79,7 +79,9 @@
         window_s = SEND_WINDOW_S + STORE_CALLS_PER_WINDOW * self._store_call_s
         until_ms = self._find_store_ms(now_s + window_s)
         wanted = self._list_recent() | dict.fromkeys(vms, until_ms)
-        change = RowChange(TABLE_TERM, ORDERS_KEY, encode_ordered_vms(wanted), self._version)
+        change = RowChange(
+            TABLE_TERM, ORDER_RESERVATIONS_KEY, encode_ordered_vms(wanted), self._version
+        )
         try:
             self._version = await self._rows.commit(HOLDER_PARTITION, [change])
         except RowsChangedError as error:
--- a/comfreywind/scheduling/roster.py
+++ b/comfreywind/scheduling/roster.py
@@ -9,7 +9,7 @@
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.http.client import Permit
 from comfreywind.jobs.row_format import RowFormatError
-from comfreywind.jobs.tables import HOLDER_PARTITION, ROSTER_KEY, TABLE_TERM
+from comfreywind.jobs.tables import HOLDER_PARTITION, TARGET_REGISTRY_KEY, TABLE_TERM
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.board import Board
@@ -57,7 +57,9 @@
 
     async def load(self) -> None:
         """Read what earlier holders stored; raise StoreUnavailableError without an answer."""
-        self._take_earlier(await self._rows.read_row(TABLE_TERM, HOLDER_PARTITION, ROSTER_KEY))
+        self._take_earlier(
+            await self._rows.read_row(TABLE_TERM, HOLDER_PARTITION, TARGET_REGISTRY_KEY)
+        )
 
     def forget_earlier(self) -> None:
         """Drop targets of earlier holders once all that may run there is known."""
@@ -95,7 +97,7 @@
             # Nothing may start on a target while a row without it is under way.
             record.rostered = record.rostered and target_id in wanted
         self._written_s = self._clock.read_monotonic_s()
-        change = RowChange(TABLE_TERM, ROSTER_KEY, encode_roster(wanted), self._version)
+        change = RowChange(TABLE_TERM, TARGET_REGISTRY_KEY, encode_roster(wanted), self._version)
         try:
             self._version = await self._rows.commit(HOLDER_PARTITION, [change], self._permit)
         except RowsChangedError as error:
