--- a/comfreywind/intake/job_app.py
+++ b/comfreywind/intake/job_app.py
@@ -22,7 +22,7 @@
 from comfreywind.jobs.queue import Queue
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.metrics import Metrics
-from comfreywind.platform.caller_codec import JOB_ID_PATTERN, STATE_WORDS, decode_job_request
+from comfreywind.platform.caller_codec import JOB_ID_PATTERN, STATE_NAMES, decode_job_request
 from comfreywind.platform.wire import HEADER_DEADLINE
 from comfreywind.scheduling.rules_follower import RulesFollower
 from comfreywind.scheduling.term_keeper import TermKeeper
@@ -164,20 +164,20 @@
         log.info(
             'job %s: %s for %s in %s', job_id, 'accepted' if new else 'known', team, queue.name
         )
-        return Reply(200, {'state': STATE_WORDS[JobState.QUEUED]} if new else {})
+        return Reply(200, {'state': STATE_NAMES[JobState.QUEUED]} if new else {})
 
     async def _tell_state(self, job_id: str, team: str, queue: Queue) -> Reply:
         state = await self._store.read_state(job_id, team, queue)
         if state is None:
             return Reply(410, {'error': 'no such job'})
-        return Reply(200, {'state': STATE_WORDS[state]})
+        return Reply(200, {'state': STATE_NAMES[state]})
 
     async def _cancel(self, job_id: str, team: str, queue: Queue) -> Reply:
         state = await self._store.cancel(job_id, team, queue)
         if state is None:
             return Reply(410, {'error': 'no such job'})
         log.info('job %s: cancelling asked, state %s', job_id, state)
-        return Reply(200, {'state': STATE_WORDS[state]})
+        return Reply(200, {'state': STATE_NAMES[state]})
 
 
 @singledispatch
--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -11,7 +11,7 @@
     StoreUnavailableError,
 )
 from comfreywind.http.client import Permit
-from comfreywind.intake.recent_cache import RecentCache
+from comfreywind.intake.ttl_cache import TtlCache
 from comfreywind.jobs.ended_job import EndedJob
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.job_codec import (
@@ -60,8 +60,8 @@
         self._clock = clock
         self._retention_s = retention_s
         kept_s = retention_s * CACHED_PART_OF_RETENTION
-        self._owners: RecentCache[JobOwner] = RecentCache(CACHED_JOBS, kept_s, clock)
-        self._ended: RecentCache[EndedJob] = RecentCache(CACHED_JOBS, kept_s, clock)
+        self._owners: TtlCache[JobOwner] = TtlCache(CACHED_JOBS, kept_s, clock)
+        self._ended: TtlCache[EndedJob] = TtlCache(CACHED_JOBS, kept_s, clock)
 
     async def accept(self, job: Job, permit: Permit) -> bool:
         """Store a job; return False when its owner has stored a job of that id already.
--- a/comfreywind/intake/recent_cache.py
+++ b/comfreywind/intake/ttl_cache.py
@@ -7,7 +7,7 @@
 Kept = TypeVar('Kept')
 
 
-class RecentCache(Generic[Kept]):
+class TtlCache(Generic[Kept]):
     """Keeps values by key for a time in seconds, at most `limit` of them."""
 
     def __init__(self, limit: int, kept_s: float, clock: Clock) -> None:
--- a/comfreywind/platform/caller_codec.py
+++ b/comfreywind/platform/caller_codec.py
@@ -22,7 +22,7 @@
 
 JOB_ID_PATTERN = re.compile('[0-9a-f]{16}')
 SPEC_LIMIT = 4000
-STATE_WORDS = {
+STATE_NAMES = {
     JobState.QUEUED: 'queued',
     JobState.RUNNING: 'in_progress',
     JobState.COMPLETE: 'complete',
