--- a/comfreywind/intake/__init__.py
+++ b/comfreywind/intake/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' side of jobs: keys, acceptance, state, cancelling."""
+"""The HTTP interface for callers: authentication, and submission, state and cancellation of jobs."""
--- a/comfreywind/intake/job_app.py
+++ b/comfreywind/intake/job_app.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP interface of jobs."""
+"""ASGI app through which callers submit, query and cancel jobs."""
 
 import logging
 from functools import partial, singledispatch
@@ -33,24 +33,27 @@
 MS_PER_S = 1000
 METHODS = frozenset(('GET', 'POST', 'DELETE'))
 DEFAULT_DEADLINE_S = 3.0
-# Time kept for the answer to reach the caller before its deadline.
-ANSWER_MARGIN_S = 0.1
+# Subtracted from the caller's deadline, so that the reply reaches the caller in time.
+REPLY_MARGIN_S = 0.1
 
 log = logging.getLogger('comfreywind.intake')
 
 
 class Reply(Exception):  # noqa: N818 (not an error)
-    """Ends the serving of a call with this answer."""
+    """The reply to a call; raised, it ends the handling of the call at once."""
 
     def __init__(self, status: int, document: dict[str, object]) -> None:
-        """Keep the answer; 429 and 503 tell when to come back."""
+        """Set the status and the JSON document of the reply."""
         super().__init__(status)
         self.status = status
         self.document = document
 
 
 class JobApp:
-    """ASGI app that accepts jobs, tells their states and cancels them."""
+    """ASGI app that accepts jobs, reports their states and cancels them.
+
+    `closing` is set when the node shuts down; replies then ask callers to close their connection.
+    """
 
     def __init__(
         self,
@@ -60,7 +63,7 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        """Use the node's rules, store and view of the term."""
+        """Use the rules, the store of jobs and the keeper of the holder's term, shared by the node."""
         self._metrics = metrics
         self._rules = rules
         self._store = store
@@ -69,7 +72,7 @@
         self.closing = False
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one call."""
+        """Serve one HTTP request."""
         headers = dict(scope['headers'])
         try:
             body = await read_body(receive, BODY_LIMIT_BYTES)
@@ -80,15 +83,16 @@
             return
         started_s = self._clock.read_monotonic_s()
         reply = await self._serve(scope['method'], scope['path'], headers, body)
-        self._note_call(scope['method'], reply.status, started_s)
-        # An open connection stays with this node until it is closed.
+        self._record_call(scope['method'], reply.status, started_s)
+        # A caller that keeps its connection open would go on calling the node that shuts down.
         extra = [(b'connection', b'close')] if self.closing else []
         if reply.status in (429, 503):
             extra.append((b'retry-after', str(RETRY_AFTER_S).encode()))
         await send_json(send, reply.status, reply.document, extra)
 
-    def _note_call(self, method: str, status: int, started_s: float) -> None:
-        # Callers choose the method, so only those that are served name a metric.
+    def _record_call(self, method: str, status: int, started_s: float) -> None:
+        # Callers choose the method. Others than those served share one metric name, so that callers
+        # can't create any number of metrics.
         name = method if method in METHODS else 'other'
         duration_s = self._clock.read_monotonic_s() - started_s
         self._metrics.record_duration(f'calls.{name}', duration_s)
@@ -103,16 +107,16 @@
             except Reply as reply:
                 return reply
             except (RowFormatError, StoreUnavailableError) as error:
-                answer = _describe_failure(error)
-                log.info('%s %s: %d, %s', method, path, answer.status, error)
-                return answer
-        log.info('%s %s: 504 at the deadline', method, path)
+                error_reply = _make_error_reply(error)
+                log.info('%s %s: replied %d: %s', method, path, error_reply.status, error)
+                return error_reply
+        log.info('%s %s: replied 504: not finished at the deadline of the caller', method, path)
         return Reply(504, {'error': 'the outcome is not known'})
 
     async def _route(
         self, method: str, path: str, headers: dict[bytes, bytes], body: bytes
     ) -> Reply:
-        queue, team = self._admit(path, headers)
+        queue, team = self._authorize(path, headers)
         job_id = path[len(queue.prefix) :]
         if not job_id and method == 'GET':
             pending = self._keeper.seen_row.pending.get(queue.name, 0)
@@ -120,30 +124,34 @@
         if not JOB_ID_PATTERN.fullmatch(job_id):
             return Reply(400, {'error': 'a job id has 16 hexadecimal digits'})
         if method == 'POST':
-            permit = partial(self._is_admitted, path, headers, team)
+            permit = partial(self._is_authorized, path, headers, team)
             return await self._accept(job_id, team, queue, body, permit)
-        serve = {'GET': self._tell_state, 'DELETE': self._cancel}.get(method)
-        if serve is None:
+        endpoint = {'GET': self._get_state, 'DELETE': self._cancel}.get(method)
+        if endpoint is None:
             return Reply(405, {'error': 'GET, POST and DELETE are served'})
-        return await serve(job_id, team, queue)
+        return await endpoint(job_id, team, queue)
+
+    def _authorize(self, path: str, headers: dict[bytes, bytes]) -> tuple[Queue, str]:
+        """Return the queue that a path belongs to and the team of the caller.
 
-    def _admit(self, path: str, headers: dict[bytes, bytes]) -> tuple[Queue, str]:
-        """Return the queue and the team of a call; raise its refusal as a Reply."""
+        Raises a Reply that refuses the call when the rules may be out of date, the queue does not
+        exist or the key is unknown.
+        """
         rules = self._rules.rules
         if rules is None or not self._rules.is_fresh():
             raise Reply(503, {'error': 'this node does not know the rules in force'})
         queue = rules.find_queue(headers.get(b'host', b'').decode('latin-1'), path)
         if queue is None:
             raise Reply(404, {'error': 'no such queue'})
-        team = _find_team(rules, queue, headers)
+        team = _authenticate(rules, queue, headers)
         if team is None:
             raise Reply(401, {'error': 'unknown key'})
         return queue, team
 
-    def _is_admitted(self, path: str, headers: dict[bytes, bytes], team: str) -> bool:
-        """Return whether the rules in force still admit a call of the team."""
+    def _is_authorized(self, path: str, headers: dict[bytes, bytes], team: str) -> bool:
+        """Return whether the current rules still authorize a call that was made for the team."""
         try:
-            return self._admit(path, headers)[1] == team
+            return self._authorize(path, headers)[1] == team
         except Reply:
             return False
 
@@ -158,15 +166,19 @@
         except JobRequestError as error:
             return Reply(400, {'error': str(error)})
         try:
-            new = await self._store.accept(job, permit)
+            is_new = await self._store.accept(job, permit)
         except JobIdTakenError as error:
             return Reply(409, {'error': str(error)})
         log.info(
-            'job %s: %s for %s in %s', job_id, 'accepted' if new else 'known', team, queue.name
+            'job %s: %s, team %r, queue %s',
+            job_id,
+            'accepted' if is_new else 'submitted again, already stored',
+            team,
+            queue.name,
         )
-        return Reply(200, {'state': STATE_NAMES[JobState.QUEUED]} if new else {})
+        return Reply(200, {'state': STATE_NAMES[JobState.QUEUED]} if is_new else {})
 
-    async def _tell_state(self, job_id: str, team: str, queue: Queue) -> Reply:
+    async def _get_state(self, job_id: str, team: str, queue: Queue) -> Reply:
         state = await self._store.read_state(job_id, team, queue)
         if state is None:
             return Reply(410, {'error': 'no such job'})
@@ -176,38 +188,41 @@
         state = await self._store.cancel(job_id, team, queue)
         if state is None:
             return Reply(410, {'error': 'no such job'})
-        log.info('job %s: cancelling asked, state %s', job_id, state)
+        log.info('job %s: cancellation requested, state is now %s', job_id, state)
         return Reply(200, {'state': STATE_NAMES[state]})
 
 
 @singledispatch
-def _describe_failure(error: Exception) -> Reply:
-    raise TypeError(f'unknown failure {error!r}')
+def _make_error_reply(error: Exception) -> Reply:
+    raise TypeError(f'no reply is defined for the error {error!r}')
 
 
-@_describe_failure.register
-def _describe_doubt(error: StoreUnavailableError) -> Reply:
+@_make_error_reply.register
+def _reply_unknown_outcome(error: StoreUnavailableError) -> Reply:
     return Reply(504, {'error': 'the outcome is not known'})
 
 
-@_describe_failure.register
-def _describe_refusal(error: StoreRefusedError) -> Reply:
+@_make_error_reply.register
+def _reply_refused(error: StoreRefusedError) -> Reply:
     return Reply(503, {'error': 'the store refuses calls of this node'})
 
 
-@_describe_failure.register
-def _describe_format(error: RowFormatError) -> Reply:
+@_make_error_reply.register
+def _reply_unreadable(error: RowFormatError) -> Reply:
     return Reply(500, {'error': "the stored state of the job can't be read"})
 
 
 def _read_deadline_s(headers: dict[bytes, bytes]) -> float:
     text = headers.get(HEADER_DEADLINE, b'')
     deadline_s = int(text) / MS_PER_S if text.isdigit() else DEFAULT_DEADLINE_S
-    return max(deadline_s - ANSWER_MARGIN_S, ANSWER_MARGIN_S)
+    return max(deadline_s - REPLY_MARGIN_S, REPLY_MARGIN_S)
+
 
+def _authenticate(rules: JobRules, queue: Queue, headers: dict[bytes, bytes]) -> str | None:
+    """Return the team of the caller's key, or None when the key is missing or unknown.
 
-def _find_team(rules: JobRules, queue: Queue, headers: dict[bytes, bytes]) -> str | None:
-    """Return the team of the key, an empty name on a queue open to all, or None."""
+    On a queue that is open to all, the team of such a caller is the empty name instead of None.
+    """
     authorization = headers.get(b'authorization', b'').decode('latin-1')
     key = authorization[len(BEARER) :] if authorization.lower().startswith(BEARER) else ''
     team = rules.teams_by_key.get(key)
--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -1,4 +1,7 @@
-"""Accepted jobs and their progress in the platform's store, as any node reads and writes them."""
+"""Stores accepted jobs in the platform's table service, and reads and cancels them.
+
+Every node serves callers, so several may write the same rows at the same time.
+"""
 
 import logging
 from functools import partial
@@ -35,72 +38,84 @@
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 
+# The holder may write the progress between the read and the write of a cancellation.
 CANCEL_ATTEMPTS = 8
-CACHED_JOBS = 10_000
-# A job that has not ended is in the store for the whole retention at least.
-CACHED_PART_OF_RETENTION = 0.5
+CACHE_ENTRY_LIMIT = 10_000
+# A job stays in the store for the whole retention after its end. An entry that was cached before
+# the end, or at it, expires after half of that time, well before the job is removed.
+CACHED_RETENTION_RATIO = 0.5
 MS_PER_S = 1000
 
 log = logging.getLogger('comfreywind.intake')
 
 
 class JobStore:
-    """Accepts, reads and cancels jobs with conditional writes."""
+    """Accepts, reads and cancels jobs with conditional writes.
+
+    `row_limit_bytes` is the largest row that the store accepts.
+    """
 
     def __init__(
         self, rows: RowsClient, row_limit_bytes: int, retention_s: float, clock: Clock
     ) -> None:
-        """Use the store's client; the store refuses longer rows than `row_limit_bytes`.
+        """Use the client of the table service; the store keeps jobs for `retention_s` after their end.
 
-        Jobs are kept for `retention_s` after their end. Owners are cached of open jobs only, states
-        of ended ones only: neither changes until the job is removed.
+        Two caches save readings: the owners of jobs that have not ended, and the owners and states
+        of ended jobs. Neither changes until the job is removed. The state of a job that has not
+        ended may change, so it is never cached.
         """
         self._rows = rows
         self.row_limit_bytes = row_limit_bytes
         self._clock = clock
         self._retention_s = retention_s
-        kept_s = retention_s * CACHED_PART_OF_RETENTION
-        self._owners: TtlCache[JobOwner] = TtlCache(CACHED_JOBS, kept_s, clock)
-        self._ended: TtlCache[EndedJob] = TtlCache(CACHED_JOBS, kept_s, clock)
+        ttl_s = retention_s * CACHED_RETENTION_RATIO
+        self._owners: TtlCache[JobOwner] = TtlCache(CACHE_ENTRY_LIMIT, ttl_s, clock)
+        self._ended: TtlCache[EndedJob] = TtlCache(CACHE_ENTRY_LIMIT, ttl_s, clock)
 
     async def accept(self, job: Job, permit: Permit) -> bool:
-        """Store a job; return False when its owner has stored a job of that id already.
+        """Store a job; return False when its owner has already stored a job of that id.
 
-        `permit` tells whether the caller may still hand it in when the row is about to be written.
-        Raises JobIdTakenError when the id belongs to another owner's job, StoreRefusedError when
-        nothing was written, and StoreUnavailableError when that is not known.
+        `permit` is called just before the row is written and returns whether the caller may still
+        submit the job. Raises JobIdTakenError when the id belongs to another owner's job,
+        StoreRefusedError when nothing was written, and StoreUnavailableError when the outcome is
+        unknown.
         """
         change = RowChange(TABLE_INTAKE, job.job_id, encode_job(job), 0)
         try:
             return await self._insert(change, job, permit)
         except StoreRefusedError:
             raise
-        except StoreUnavailableError as doubt:
-            log.info('job %s: sent again, %s', job.job_id, doubt)
+        except StoreUnavailableError as error:
+            log.info(
+                'job %s: outcome of the write unknown, writing it again: %s', job.job_id, error
+            )
         try:
             return await self._insert(change, job, permit)
         except StoreRefusedError as error:
-            # The attempt before may have taken effect, so nothing may be said of the job.
+            # The first write may have taken effect, so the outcome is unknown, not refused.
             raise StoreUnavailableError(f'job {job.job_id}: {error}') from error
 
     async def read_state(self, job_id: str, team: str, queue: Queue) -> JobState | None:
-        """Return the state of a job, or None when a caller of the team has no such job there."""
+        """Return the state of a job.
+
+        Returns None when no such job is stored or the team has no access to it through the queue.
+        """
         ended = self._ended.get(job_id)
         if ended is not None:
             return ended.state if ended.owner.allows_access(team, queue) else None
-        found = await self._find_progress(job_id, team, queue)
-        return None if found is None else found[0].state
+        versioned = await self._read_progress(job_id, team, queue)
+        return None if versioned is None else versioned[0].state
 
     async def cancel(self, job_id: str, team: str, queue: Queue) -> JobState | None:
-        """Cancel a job that is not final; return its state then.
+        """Cancel a job unless it has ended; return its state after the call.
 
-        Returns None when a caller of the team has no such job in the queue.
+        Returns None when no such job is stored or the team has no access to it through the queue.
         """
         for _ in range(CANCEL_ATTEMPTS):
-            found = await self._find_progress(job_id, team, queue)
-            if found is None:
+            versioned = await self._read_progress(job_id, team, queue)
+            if versioned is None:
                 return None
-            progress, version = found
+            progress, version = versioned
             if progress.state.final:
                 return progress.state
             progress.state = JobState.CANCELLED
@@ -111,11 +126,13 @@
             try:
                 await self._rows.commit(compute_progress_partition(job_id), changes)
             except RowsChangedError:
-                log.info('job %s: progress changed while it was being cancelled', job_id)
+                log.info('job %s: progress changed during its cancellation, trying again', job_id)
             else:
                 self._owners.drop(job_id)
                 return JobState.CANCELLED
-        raise StoreUnavailableError(f'job {job_id}: progress changes too fast to be cancelled')
+        raise StoreUnavailableError(
+            f'job {job_id}: not cancelled, its progress changed in {CANCEL_ATTEMPTS} attempts'
+        )
 
     async def _insert(self, change: RowChange, job: Job, permit: Permit) -> bool:
         try:
@@ -129,15 +146,19 @@
         return True
 
     def _check_owner(self, row: StoredRow, job: Job) -> None:
+        """Raise JobIdTakenError when the stored row is of a job that the submitter can't access."""
         if row.payload is None:
             return
         if not get_owner(decode_intake_row(row.payload)).allows_access(job.team, job.queue):
             raise JobIdTakenError(f'the id {job.job_id} is in use')
 
-    async def _find_progress(
+    async def _read_progress(
         self, job_id: str, team: str, queue: Queue
     ) -> tuple[Progress, int] | None:
-        """Return the progress of a job and its version, or None without such a job of the team."""
+        """Return the progress of a job and the version of its row.
+
+        Returns None when no such job is stored or the team has no access to it through the queue.
+        """
         owner = self._owners.get(job_id)
         progress_row, accepted = await self._read_job(job_id, owner is None)
         if accepted is not None:
@@ -157,32 +178,33 @@
     async def _read_job(
         self, job_id: str, with_accepted: bool
     ) -> tuple[StoredRow, Job | EndedJob | None]:
-        """Return the progress row and, if asked for, the accepted job or what its tombstone tells."""
-        found: dict[str, StoredRow] = {}
+        """Return the progress row and, if asked for, the accepted job or its tombstone's content."""
+        rows_by_table: dict[str, StoredRow] = {}
 
         async def read(table: str, partition: str) -> None:
-            found[table] = await self._rows.read_row(table, partition, job_id)
+            rows_by_table[table] = await self._rows.read_row(table, partition, job_id)
 
         read_accepted = partial(read, TABLE_INTAKE, compute_intake_partition(job_id))
-        readings = [partial(read, TABLE_PROGRESS, compute_progress_partition(job_id))]
+        calls = [partial(read, TABLE_PROGRESS, compute_progress_partition(job_id))]
         if with_accepted:
-            readings.append(read_accepted)
-        await run_concurrently(readings)
-        accepted = _decode_found(found)
-        if found[TABLE_PROGRESS].payload is None and self._is_old(accepted):
-            # It may have been removed between the two readings.
+            calls.append(read_accepted)
+        await run_concurrently(calls)
+        accepted = _decode_accepted(rows_by_table)
+        if rows_by_table[TABLE_PROGRESS].payload is None and self._may_be_in_removal(accepted):
+            # The two rows are not read in one transaction: the progress may have been removed after
+            # the job was read. Reading the job again shows the tombstone, which was written first.
             await read_accepted()
-            accepted = _decode_found(found)
-        return found[TABLE_PROGRESS], accepted
+            accepted = _decode_accepted(rows_by_table)
+        return rows_by_table[TABLE_PROGRESS], accepted
 
-    def _is_old(self, accepted: Job | EndedJob | None) -> bool:
-        """Return whether the job may have ended so long ago that it is being removed."""
+    def _may_be_in_removal(self, accepted: Job | EndedJob | None) -> bool:
+        """Return whether the job is old enough to have ended and be past its retention."""
         if not isinstance(accepted, Job):
             return False
         age_s = self._clock.read_utc().timestamp() - accepted.accepted_ms / MS_PER_S
-        return age_s >= self._retention_s * CACHED_PART_OF_RETENTION
+        return age_s >= self._retention_s * CACHED_RETENTION_RATIO
 
 
-def _decode_found(found: dict[str, StoredRow]) -> Job | EndedJob | None:
-    row = found.get(TABLE_INTAKE)
+def _decode_accepted(rows_by_table: dict[str, StoredRow]) -> Job | EndedJob | None:
+    row = rows_by_table.get(TABLE_INTAKE)
     return None if row is None or row.payload is None else decode_intake_row(row.payload)
--- a/comfreywind/intake/ttl_cache.py
+++ b/comfreywind/intake/ttl_cache.py
@@ -1,4 +1,4 @@
-"""What was read lately and need not be read again."""
+"""A cache whose entries expire."""
 
 from typing import Generic, TypeVar
 
@@ -8,32 +8,32 @@
 
 
 class TtlCache(Generic[Kept]):
-    """Keeps values by key for a time in seconds, at most `limit` of them."""
+    """Keeps up to `entry_limit` values by key, each for `ttl_s` after it was put."""
 
-    def __init__(self, limit: int, kept_s: float, clock: Clock) -> None:
-        """Start empty."""
-        self._limit = limit
-        self._kept_s = kept_s
+    def __init__(self, entry_limit: int, ttl_s: float, clock: Clock) -> None:
+        """Start without entries."""
+        self._entry_limit = entry_limit
+        self._ttl_s = ttl_s
         self._clock = clock
-        self._kept: dict[str, tuple[Kept, float]] = {}
+        self._entries: dict[str, tuple[Kept, float]] = {}
 
     def put(self, key: str, value: Kept) -> None:
-        """Keep a value, in place of the oldest when there are many."""
-        self._kept.pop(key, None)
-        while len(self._kept) >= self._limit:
-            del self._kept[next(iter(self._kept))]
-        self._kept[key] = (value, self._clock.read_monotonic_s() + self._kept_s)
+        """Store a value under a key; a full cache evicts the entry that was put first."""
+        self._entries.pop(key, None)
+        while len(self._entries) >= self._entry_limit:
+            del self._entries[next(iter(self._entries))]
+        self._entries[key] = (value, self._clock.read_monotonic_s() + self._ttl_s)
 
     def get(self, key: str) -> Kept | None:
-        """Return the value, or None when it is not known or too old."""
-        if key not in self._kept:
+        """Return the value of a key, or None when there is none or it has expired."""
+        if key not in self._entries:
             return None
-        value, until_s = self._kept[key]
-        if self._clock.read_monotonic_s() < until_s:
+        value, expires_s = self._entries[key]
+        if self._clock.read_monotonic_s() < expires_s:
             return value
         self.drop(key)
         return None
 
     def drop(self, key: str) -> None:
-        """Forget the value of a key."""
-        self._kept.pop(key, None)
+        """Remove the entry of a key, if there is one."""
+        self._entries.pop(key, None)
--- a/comfreywind/jobs/__init__.py
+++ b/comfreywind/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs as the product knows them: models, states, the rows kept, and what a caller sees."""
+"""Domain model of jobs, targets and VMs, and the encoding of the rows that store jobs."""
--- a/comfreywind/jobs/ended_job.py
+++ b/comfreywind/jobs/ended_job.py
@@ -1,4 +1,4 @@
-"""What the tombstone of a job tells."""
+"""The content of a job's tombstone."""
 
 from dataclasses import dataclass
 
@@ -8,12 +8,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedJob:
-    """Owner and final state of a job whose progress is removed next."""
+    """Owner and final state of a job, stored as its tombstone while its rows are being removed.
+
+    The tombstone takes the place of the accepted job, so that the owner and the final state can
+    still be read after the progress row has been removed.
+    """
 
     owner: JobOwner
     state: JobState
 
 
 @get_owner.register
-def _find_ended_owner(ended: EndedJob) -> JobOwner:
+def _get_ended_owner(ended: EndedJob) -> JobOwner:
     return ended.owner
--- a/comfreywind/jobs/job.py
+++ b/comfreywind/jobs/job.py
@@ -1,4 +1,4 @@
-"""An accepted job."""
+"""A job as it was accepted from a caller."""
 
 from dataclasses import dataclass
 
@@ -8,10 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """What a caller handed in, and the queue as it was at that moment.
+    """A submitted job together with the settings of its queue at the time of acceptance.
 
-    A job without occurrences has `occurrence_count` 0 and runs its steps once, as occurrence 0.
-    Times are milliseconds since 1970.
+    `occurrence_count` is 0 for a job that is not scheduled by time: it runs its steps once, as
+    occurrence 0. `accepted_ms` and `first_due_ms` are milliseconds since 1970; `interval_ms` is the
+    time between the due times of two occurrences.
     """
 
     job_id: str
@@ -26,15 +27,15 @@
 
     @property
     def long_running(self) -> bool:
-        """Return whether the job runs until it is cancelled."""
+        """Return whether any step is long-running, so that the job runs until it is cancelled."""
         return any(step.long_running for step in self.steps)
 
     def count_occurrences(self) -> int:
-        """Return how many times the steps run."""
+        """Return how many times the steps run: at least once."""
         return max(self.occurrence_count, 1)
 
     def compute_due_ms(self, occurrence: int) -> int:
-        """Return when the occurrence may start; 0 for a job that is not timed."""
+        """Return the earliest start of the occurrence, or 0 for a job not scheduled by time."""
         if not self.occurrence_count:
             return 0
         return self.first_due_ms + occurrence * self.interval_ms
--- a/comfreywind/jobs/job_codec.py
+++ b/comfreywind/jobs/job_codec.py
@@ -1,4 +1,4 @@
-"""Rows of jobs and of their progress as msgpack."""
+"""Encodes accepted jobs, tombstones and progress as msgpack rows, and decodes them."""
 
 from dataclasses import astuple
 from typing import Any
@@ -17,12 +17,12 @@
 from comfreywind.jobs.step import Step
 
 FORMAT_VERSION = 1
-# In the place of the job's id, which is hexadecimal.
+# Stored in place of the job id to mark a tombstone; it can't equal an id, which is hexadecimal.
 TOMBSTONE_MARK = 'ended'
 
 
 def encode_job(job: Job) -> bytes:
-    """Return the job as the value of a row."""
+    """Return the value of the job's row in the intake table."""
     steps = [_list_fields(step) for step in job.steps]
     times = [job.accepted_ms, job.occurrence_count, job.first_due_ms, job.interval_ms]
     row = [FORMAT_VERSION, job.job_id, job.team, _list_fields(job.queue), job.spec, steps, times]
@@ -30,12 +30,15 @@
 
 
 def encode_tombstone(ended: EndedJob) -> bytes:
-    """Return the tombstone of a job that is being removed."""
+    """Return the value of the row that replaces a job while its rows are being removed."""
     return _pack([FORMAT_VERSION, TOMBSTONE_MARK, ended.state.value, *astuple(ended.owner)])
 
 
 def decode_intake_row(value: bytes) -> Job | EndedJob:
-    """Return the job of a row, or what its tombstone tells; raise RowFormatError when it can't be read."""
+    """Return the job of an intake row, or the content of its tombstone.
+
+    Raises RowFormatError when the row can't be decoded or the job is beyond a limit.
+    """
     row = _unpack(value)
     if row[1:2] == [TOMBSTONE_MARK]:
         with wrap_row_errors('tombstone of a job'):
@@ -45,21 +48,24 @@
 
 def _decode_job(row: list[Any]) -> Job:
     try:
-        job, excess = _check_job(_make_job(*row[1:]))
+        job, exceeded_limit = _check_job(_make_job(*row[1:]))
     except (TypeError, ValueError) as error:
         raise RowFormatError(f'row of a job: {error}') from error
-    if excess is not None:
-        raise RowFormatError(f'row of a job: {excess}')
+    if exceeded_limit is not None:
+        raise RowFormatError(f'row of a job: {exceeded_limit}')
     return job
 
 
 def _check_job(job: Job) -> tuple[Job, str | None]:
-    """Return the job and which limit it is beyond; raise TypeError for fields of another type."""
+    """Return the job and a description of the limit that it exceeds, or None.
+
+    Raises TypeError when a field has another type, which the constructor of Job does not check.
+    """
     return job, describe_exceeded_limit(job)
 
 
 def encode_progress(progress: Progress) -> bytes:
-    """Return the progress as the value of a row."""
+    """Return the value of the job's row in the progress table."""
     done = [list(task) for task in sorted(progress.done)]
     failures = [[*task, *sorted(runs)] for task, runs in progress.failures.items()]
     checkpoints = [[*task, text] for task, text in progress.checkpoints.items()]
@@ -67,16 +73,19 @@
 
 
 def decode_progress(value: bytes) -> Progress:
-    """Return the progress of a row; raise RowFormatError when it can't be read."""
+    """Return the progress in a row; raise RowFormatError when the row can't be decoded."""
     row = _unpack(value)
     try:
         return _make_progress(*row[1:])
     except (TypeError, ValueError, IndexError) as error:
-        raise RowFormatError(f'row of progress: {error}') from error
+        raise RowFormatError(f"row of a job's progress: {error}") from error
 
 
 def decode_stored_progress(value: bytes | None) -> Progress:
-    """Return the progress of a row that may not exist: a job has none before its first change."""
+    """Return the progress in a row, or the initial progress for a row that does not exist yet.
+
+    The row is first written when the progress changes.
+    """
     return Progress() if value is None else decode_progress(value)
 
 
@@ -118,7 +127,7 @@
     try:
         row = msgpack.unpackb(value)
     except (ValueError, msgpack.UnpackException) as error:
-        raise RowFormatError(f'no msgpack: {error}') from error
+        raise RowFormatError(f'row is not valid msgpack: {error}') from error
     if not isinstance(row, list) or not row or row[0] != FORMAT_VERSION:
-        raise RowFormatError('unknown format version')
+        raise RowFormatError(f'row is not a list that begins with format version {FORMAT_VERSION}')
     return row
--- a/comfreywind/jobs/job_limits.py
+++ b/comfreywind/jobs/job_limits.py
@@ -1,19 +1,21 @@
-"""What one job may hold, so that it can't take up the memory or the time of a whole node."""
+"""Limits on the size of one job, so that it can't exhaust the memory or processor of a node."""
 
 from comfreywind.jobs.job import Job
 
-# The ends of so many tasks fit into the row of a job's progress.
+# Tasks of one job over all occurrences. The records of this many ended tasks fit into the one row
+# that stores a job's progress.
 TASK_LIMIT = 5_000
 STEP_LIMIT = 256
 TEXT_LIMIT_CHARACTERS = 200
-# Larger amounts than any VM or fleet has; sums and products of them stay exact.
+# Bounds amounts of resources, durations and counts in a request. It is above the amounts of any VM
+# or fleet, and small enough for sums and products to stay exact.
 AMOUNT_LIMIT = 10**9
 # Milliseconds since 1970 up to the year 5138.
 TIME_LIMIT_MS = 10**14
 
 
 def describe_exceeded_limit(job: Job) -> str | None:
-    """Return which field of a job is beyond which limit, or None when all are within."""
+    """Return a text that names the field beyond its limit and the limit, or None if all are within."""
     if len(job.steps) > STEP_LIMIT:
         return f'steps: a job has at most {STEP_LIMIT}'
     task_count = sum(step.task_count for step in job.steps)
--- a/comfreywind/jobs/job_rules.py
+++ b/comfreywind/jobs/job_rules.py
@@ -1,4 +1,4 @@
-"""The rules in force for jobs: one version of queues, pools, teams and keys."""
+"""The rules for jobs: queues, pools, teams and API keys."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRules:
-    """One version; `teams_by_key` maps a caller's key to the name of its team."""
+    """One version of the rules.
+
+    `queues`, `pools` and `teams` map names to definitions, `teams_by_key` maps a caller's API key to
+    the name of its team.
+    """
 
     version: int
     queues: dict[str, Queue] = field(default_factory=dict)
@@ -18,7 +22,7 @@
     teams_by_key: dict[str, str] = field(default_factory=dict)
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue of the host with the longest prefix that the path begins with."""
+        """Return the queue of the host with the longest prefix of the path, or None."""
         matching = (
             queue
             for queue in self.queues.values()
--- a/comfreywind/jobs/job_state.py
+++ b/comfreywind/jobs/job_state.py
@@ -4,7 +4,7 @@
 
 
 class JobState(enum.StrEnum):
-    """What a caller is told of a job."""
+    """State of a job as callers see it."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -14,7 +14,7 @@
 
     @property
     def final(self) -> bool:
-        """Return whether the state never changes again."""
+        """Return whether the job has ended: its state never changes again."""
         return self in FINAL_STATES
 
 
--- a/comfreywind/jobs/pool.py
+++ b/comfreywind/jobs/pool.py
@@ -5,9 +5,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """A pool; its targets refuse what does not fit if `admission_control` is set.
+    """A group of targets that serve the same queues.
 
-    The VMs of a standby pool are off.
+    With `admission_control` its targets refuse a start that does not fit into their free capacity.
+    The VMs of a pool with `standby` are powered off.
     """
 
     name: str
--- a/comfreywind/jobs/progress.py
+++ b/comfreywind/jobs/progress.py
@@ -1,4 +1,4 @@
-"""What is kept of a job's progress."""
+"""The stored progress of a job."""
 
 from dataclasses import dataclass, field
 
@@ -7,12 +7,13 @@
 
 @dataclass(slots=True)
 class Progress:
-    """State, ends and checkpoints of a job; tasks are named by (occurrence, step, number).
+    """State of a job, its completed tasks, failed runs and checkpoints.
 
-    `failures` holds the ids of the runs that failed: an end may be seen again by a later holder.
+    Tasks are identified by (occurrence, step, number). `failures` maps a task to the ids of its
+    failed runs. Ids, not a count, because a target may report the same end to a later holder again.
 
-    Only ends that the store holds may be acknowledged to a target, because a later holder of the
-    pool learns of the others from the target alone.
+    The end of a run may be acknowledged to its target only once it is stored here: the target drops
+    acknowledged ends, and a later holder learns of an end that is not stored from the target alone.
     """
 
     state: JobState = JobState.QUEUED
--- a/comfreywind/jobs/queue.py
+++ b/comfreywind/jobs/queue.py
@@ -1,14 +1,15 @@
-"""A queue of jobs."""
+"""A queue to which callers submit jobs."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Queue:
-    """Where callers hand in jobs, and the pool whose targets run them.
+    """Address under which callers submit jobs, the pool that runs them, and how they are scheduled.
 
-    Priority 0 comes first. The objective of a job is `stretch_factor` times its longest chain of
-    work plus `latency_objective_ms`. Advice is asked for when `advice_validity_ms` is not 0.
+    Priority 0 is scheduled first. The objective for the duration of a job, from acceptance to
+    completion, is `stretch_factor` times its critical path plus `latency_objective_ms`. When
+    `advice_validity_ms` is not 0, the advice service is asked which targets may run a step.
     """
 
     name: str
--- a/comfreywind/jobs/resources.py
+++ b/comfreywind/jobs/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of processor, memory and accelerators."""
+"""Amounts of processor time, memory and accelerators."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """An amount of each resource; used for capacities, requests and ceilings."""
+    """An amount of each resource, such as a capacity, a request or a ceiling."""
 
     cpu_millicores: int = 0
     memory_mb: int = 0
@@ -21,7 +21,7 @@
         )
 
     def subtract(self, other: 'Resources') -> 'Resources':
-        """Return the difference, which may be negative."""
+        """Return the difference; its amounts may be negative."""
         return Resources(
             self.cpu_millicores - other.cpu_millicores,
             self.memory_mb - other.memory_mb,
@@ -29,27 +29,27 @@
         )
 
     def is_within(self, ceiling: 'Resources') -> bool:
-        """Return whether this amount is not above a ceiling, in which 0 means no limit."""
+        """Return whether no amount exceeds the ceiling, where 0 means no limit."""
         return not (
             0 < ceiling.cpu_millicores < self.cpu_millicores
             or 0 < ceiling.memory_mb < self.memory_mb
             or 0 < ceiling.accelerators < self.accelerators
         )
 
-    def compute_dominant_share(self, whole: 'Resources') -> float:
-        """Return the part of a whole that this amount takes of its scarcest resource.
+    def compute_dominant_share(self, total: 'Resources') -> float:
+        """Return the largest ratio of an amount to the total amount of the same resource.
 
-        What the whole has none of does not count.
+        Resources of which the total is 0 are left out.
         """
         pairs = (
-            (self.cpu_millicores, whole.cpu_millicores),
-            (self.memory_mb, whole.memory_mb),
-            (self.accelerators, whole.accelerators),
+            (self.cpu_millicores, total.cpu_millicores),
+            (self.memory_mb, total.memory_mb),
+            (self.accelerators, total.accelerators),
         )
-        return max((amount / total for amount, total in pairs if total), default=0)
+        return max((amount / whole for amount, whole in pairs if whole), default=0)
 
     def fits(self, free: 'Resources') -> bool:
-        """Return whether this amount is free in full."""
+        """Return whether the free resources cover every amount."""
         return (
             self.cpu_millicores <= free.cpu_millicores
             and self.memory_mb <= free.memory_mb
@@ -61,7 +61,7 @@
 
 
 def sum_resources(amounts: Iterable[Resources]) -> Resources:
-    """Return the sum of all amounts."""
+    """Return the sum of the amounts; NO_RESOURCES without any."""
     cpu_millicores = 0
     memory_mb = 0
     accelerators = 0
--- a/comfreywind/jobs/row_format.py
+++ b/comfreywind/jobs/row_format.py
@@ -1,4 +1,4 @@
-"""Rows of our own tables that can't be read."""
+"""The error for stored rows that can't be decoded."""
 
 import contextlib
 from collections.abc import Iterator
@@ -7,12 +7,12 @@
 
 
 class RowFormatError(ValueError):
-    """A row of our own tables can't be read; another program or version wrote it."""
+    """A row in one of Comfreywind's tables can't be decoded: another program or version wrote it."""
 
 
 @contextlib.contextmanager
 def wrap_row_errors(subject: str) -> Iterator[None]:
-    """Turn the errors of unpacking a row into RowFormatError, which names the subject."""
+    """Raise RowFormatError, with the subject in its message, for errors of decoding in the block."""
     try:
         yield
     except (ValueError, TypeError, msgpack.UnpackException) as error:
--- a/comfreywind/jobs/run_report.py
+++ b/comfreywind/jobs/run_report.py
@@ -1,4 +1,4 @@
-"""What a target reports of the runs that it has."""
+"""A target's report of its active and ended runs."""
 
 import enum
 from dataclasses import dataclass
@@ -7,7 +7,11 @@
 
 
 class RunOutcome(enum.StrEnum):
-    """How a run ended."""
+    """How a run ended, as its target reports it.
+
+    Only DONE completes a task and only FAILED counts as a failed attempt. STOPPED follows a stop
+    order and LAPSED the end of the target's lease.
+    """
 
     DONE = 'done'
     FAILED = 'failed'
@@ -19,10 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveRun:
-    """A run under way.
+    """A run in progress.
 
-    `progress_percent` is 100 when a lasting task serves at its full pace. `level` is the tail of the
-    response times in milliseconds for a task that serves, else the millicores in use.
+    `progress_percent` is how much of its work a task has done; a long-running task has 100 once it
+    serves at full capacity. `metric_value` is the tail latency in milliseconds for a task that
+    serves requests, and the processor time in use, in millicores, for any other.
     """
 
     key: TaskKey
@@ -34,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRun:
-    """An end; `number` counts the ends of one life of the target from 1."""
+    """The end of a run; `number` counts the ended runs of one incarnation of the target from 1."""
 
     number: int
     key: TaskKey
@@ -45,7 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """The runs of a target; `clock_ms` is the target's own steady clock."""
+    """All active runs of a target, and its ended runs that are not acknowledged yet.
+
+    `clock_ms` is the time on the target's own monotonic clock, and `incarnation_start_ms` tells the
+    incarnations of a target apart: a later incarnation has a higher value.
+    """
 
     clock_ms: int
     incarnation_start_ms: int
--- a/comfreywind/jobs/start_answer.py
+++ b/comfreywind/jobs/start_answer.py
@@ -1,10 +1,13 @@
-"""What a target said to an order to start."""
+"""A target's answer to a start order."""
 
 import enum
 
 
 class StartAnswer(enum.StrEnum):
-    """Answer to a start; all but STARTED and UNKNOWN mean that nothing was started."""
+    """Answer to a start order; all but STARTED and UNKNOWN mean that no run was started.
+
+    After UNKNOWN, for an order without a usable reply, the run may exist or may start later.
+    """
 
     STARTED = 'started'
     FENCED = 'fenced'
--- a/comfreywind/jobs/step.py
+++ b/comfreywind/jobs/step.py
@@ -1,4 +1,4 @@
-"""A step of a job."""
+"""A step of a job: a number of equal tasks."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """`task_count` equal tasks that may start once all steps in `after` are done.
+    """`task_count` equal tasks that may start once all steps with the numbers in `after` are done.
 
-    `estimate_ms` is the caller's rough estimate of one task. `lasting` tasks run until the job is
-    cancelled. `filler` tasks use processor time that others leave; their processor request is not
-    counted against a target. `unavailable_limit` is how many tasks of a lasting step may be away
-    because of the system's actions, or None without a limit.
+    `request` is the resources of one task and `estimate_ms` the caller's estimate of its run time.
+    `long_running` tasks run until the job is cancelled. `best_effort` tasks use processor time that
+    other tasks leave idle, so their processor request does not count against the capacity of a
+    target. `target_limit` is how many tasks of the step one target may run. `unavailable_limit` is
+    how many tasks of a long-running step may be unavailable at the same time because of actions of
+    the scheduler, such as maintenance. In both, 0 means no limit.
     """
 
     task_count: int
--- a/comfreywind/jobs/tables.py
+++ b/comfreywind/jobs/tables.py
@@ -1,32 +1,32 @@
-"""Tables of our own in the platform's store, and the parts that their rows are spread over.
+"""Comfreywind's tables in the platform's store, and the partitions that their rows are spread over.
 
-A part, whatever the table, takes transactions one after another. The empty part is the platform's:
-targets register there many times a second.
+The store runs the transactions of a partition one after another, across all tables. The partition
+with the empty name is left to the platform: targets register there many times a second.
 """
 
 TABLE_INTAKE = 'comfreywind-intake'
 TABLE_PROGRESS = 'comfreywind-progress'
 TABLE_TERM = 'comfreywind-term'
 
-# The renewals of the term wait for no other write.
+# A partition of its own, so that a renewal of the term never waits for another write.
 TERM_PARTITION = 'term'
 TERM_KEY = 'holder'
 HOLDER_PARTITION = 'holder'
 TARGET_REGISTRY_KEY = 'roster'
 ORDER_RESERVATIONS_KEY = 'orders'
 CANCEL_SUFFIX = ':cancel'
-# A store that is 100 times slower takes two transactions a second in a part: callers hand in up to
-# sixty jobs a second, each a transaction of its own.
+# Callers submit up to 60 jobs/s, each in its own transaction. A store that is 100 times slower than
+# usual runs two transactions/s in a partition, so 32 partitions just take that rate.
 INTAKE_PARTITIONS = tuple(f'i{number:02d}' for number in range(32))
-# The holder writes the progress of many jobs in one transaction of each part.
+# Fewer are enough: the holder writes the progress of many jobs in one transaction per partition.
 PROGRESS_PARTITIONS = tuple(f'p{number}' for number in range(4))
 
 
 def compute_intake_partition(job_id: str) -> str:
-    """Return the part that holds an accepted job; the id is hexadecimal."""
+    """Return the partition of the row of an accepted job; the id is hexadecimal."""
     return INTAKE_PARTITIONS[int(job_id, 16) % len(INTAKE_PARTITIONS)]
 
 
 def compute_progress_partition(job_id: str) -> str:
-    """Return the part that holds the progress of a job, and the mark of its cancelling."""
+    """Return the partition of a job's progress row and of its cancellation marker."""
     return PROGRESS_PARTITIONS[int(job_id, 16) % len(PROGRESS_PARTITIONS)]
--- a/comfreywind/jobs/target_entry.py
+++ b/comfreywind/jobs/target_entry.py
@@ -1,4 +1,4 @@
-"""A target as it registers itself."""
+"""A target's registration."""
 
 from dataclasses import dataclass
 
@@ -8,9 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetEntry:
-    """One registered target; `incarnation_start_ms` differs between two lives under the same id.
+    """A target as it registered itself.
 
-    `labels` holds the kind and the rack of its VM.
+    `incarnation_start_ms` differs between two incarnations under the same id. `labels` holds the
+    kind and the rack of its VM.
     """
 
     target_id: str
--- a/comfreywind/jobs/task_key.py
+++ b/comfreywind/jobs/task_key.py
@@ -1,10 +1,10 @@
-"""Names of tasks."""
+"""Identifiers of tasks."""
 
 from typing import NamedTuple
 
 
 class TaskKey(NamedTuple):
-    """A task of one occurrence of a job; `number` counts the tasks of a step from 0."""
+    """Identifies a task of one occurrence of a job; `number` counts the tasks of a step from 0."""
 
     job_id: str
     occurrence: int
@@ -17,7 +17,7 @@
 
 
 def parse_task_key(text: str) -> TaskKey:
-    """Return the key; raise ValueError for text of another form."""
+    """Return the key in the form of `str(key)`; raise ValueError for any other text."""
     job_id, *numbers = text.split('.')
     occurrence, step, number = map(int, numbers)
     return TaskKey(job_id, occurrence, step, number)
--- a/comfreywind/jobs/team.py
+++ b/comfreywind/jobs/team.py
@@ -1,4 +1,4 @@
-"""A team as the rules in force know it."""
+"""A team as the rules define it."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """Weight, which is the share when all is full, and ceiling; 0 in a ceiling means no limit."""
+    """The weight and the ceiling of a team.
+
+    `weight` sets its relative share while demand exceeds the capacity. `ceiling` limits the
+    resources of its running tasks; 0 means no limit on that resource.
+    """
 
     name: str
     weight: float = 1.0
--- a/comfreywind/jobs/vm.py
+++ b/comfreywind/jobs/vm.py
@@ -1,4 +1,4 @@
-"""A VM on the platform's list."""
+"""A VM as the platform's VM service lists it."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Vm:
-    """A VM, the pool that it belongs to and the target that it is now; `up` when it can be used."""
+    """A VM and its pool.
+
+    `target_id` is the id of the target that runs on it, empty without one. `up` means that it can
+    run tasks.
+    """
 
     name: str
     pool: str
--- a/comfreywind/node/__init__.py
+++ b/comfreywind/node/__init__.py
@@ -1,1 +1,1 @@
-"""The process that runs on every VM of the system."""
+"""The node: the Comfreywind process that runs on every VM of the system."""
--- a/comfreywind/node/ready_app.py
+++ b/comfreywind/node/ready_app.py
@@ -1,4 +1,4 @@
-"""Tells the platform's balancer whether this node takes connections."""
+"""Readiness check for the platform's load balancer."""
 
 from collections.abc import Callable
 
@@ -7,13 +7,13 @@
 
 
 class ReadyApp:
-    """ASGI app that answers 200 while the node is ready and 503 otherwise."""
+    """ASGI app that replies 200 while the node is ready for connections and 503 otherwise."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
-        """Ask the function at each call."""
+        """Use the function, which is called for each request."""
         self._is_ready = is_ready
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one call."""
+        """Serve one HTTP request."""
         ready = self._is_ready()
         await send_json(send, 200 if ready else 503, {'ready': ready})
--- a/comfreywind/node/run.py
+++ b/comfreywind/node/run.py
@@ -1,4 +1,4 @@
-"""Runs a node: serves callers and competes for the holder's term."""
+"""Runs a node: serves callers, and schedules jobs while the node holds the term."""
 
 import logging
 import signal
@@ -22,21 +22,24 @@
 from comfreywind.signals import set_on_termination
 from comfreywind.supervision import supervise
 
-# A feed that waits is confirmed when it is answered, so the wait bounds how old the rules may be.
+# Longest wait of one read of the change feed. Its reply confirms that the rules are current, so the
+# wait bounds how old they may be.
 FEED_WAIT_S = 0.7
-# The balancer asks once a second and takes a node out after two misses.
-READINESS_NOTICE_S = 2.4
-GRACEFUL_S = 2.0
-STANDARD_ERROR = 2
+# The load balancer checks readiness once a second and removes a node after two failed checks. The
+# node serves on for this time after it has reported not to be ready.
+BALANCER_REMOVAL_S = 2.4
+# Time for calls in flight to finish after the server has stopped accepting connections.
+SHUTDOWN_GRACE_S = 2.0
+STANDARD_ERROR_FD = 2
 
 log = logging.getLogger('comfreywind.node')
 
 
 class Node:
-    """The parts of a node."""
+    """The components of a node and their lifecycle."""
 
     def __init__(self, settings: NodeSettings, clock: Clock) -> None:
-        """Wire the parts together."""
+        """Create the components; nothing runs until `run` or `run_components` is called."""
         self._settings = settings
         self._clock = clock
         self._metrics = ExposedMetrics()
@@ -53,16 +56,16 @@
         self._stopping = False
 
     async def run(self) -> None:
-        """Run until SIGTERM, then hand the term over and finish what is in flight."""
+        """Run until SIGTERM, then release the term and finish the calls in flight."""
         termination = trio.Event()
         async with trio.open_nursery() as nursery:
             await nursery.start(set_on_termination, termination)
-            nursery.start_soon(note_reloads)
+            nursery.start_soon(log_reload_signals)
             await self.run_components(termination)
             nursery.cancel_scope.cancel()
 
     async def run_components(self, termination: trio.Event) -> None:
-        """Run until `termination` is set, without a look at signals."""
+        """Run until `termination` is set; signals are not handled."""
         async with trio.open_nursery() as nursery:
             for name, work in (
                 ('rules', self._rules.run),
@@ -74,7 +77,7 @@
             nursery.cancel_scope.cancel()
 
     def is_ready(self) -> bool:
-        """Return whether new connections are welcome."""
+        """Return whether the node accepts new connections: its rules are current and it isn't stopping."""
         return not self._stopping and self._rules.is_fresh()
 
     async def _serve(self, termination: trio.Event) -> None:
@@ -83,19 +86,22 @@
             ready_app = ReadyApp(self.is_ready)
             settings = self._settings
             servers.start_soon(
-                serve_app, self._job_app, settings.caller_address, shutdown, GRACEFUL_S
+                serve_app, self._job_app, settings.caller_address, shutdown, SHUTDOWN_GRACE_S
             )
             servers.start_soon(serve_app, ready_app, settings.ready_address, shutdown, 0)
             servers.start_soon(self._serve_metrics, shutdown)
             await termination.wait()
-            log.info('stopping: taken out of rotation')
+            log.info(
+                'node is stopping: reports not ready, releases the term, finishes calls in flight'
+            )
             self._stopping = True
             self._job_app.closing = True
-            # A slow store must not take up the time that the platform grants for stopping.
+            # Released concurrently: a slow store must not use up the time that the platform grants
+            # a node to stop.
             servers.start_soon(self._keeper.release)
-            await trio.sleep(READINESS_NOTICE_S)
+            await trio.sleep(BALANCER_REMOVAL_S)
             shutdown.set()
-        log.info('stopped')
+        log.info('node has stopped serving')
 
     async def _serve_metrics(self, shutdown: trio.Event) -> None:
         address = self._settings.metrics_address
@@ -104,11 +110,12 @@
         try:
             await serve_app(self._metrics, address, shutdown, 0)
         except ListenError as error:
-            # Jobs are served all the same: the platform deals out ports anew each day.
-            log.warning('metrics are not served: %s', error)
+            # The platform assigns the ports anew each day, so the address may be in use. Jobs are
+            # served nevertheless.
+            log.warning('metrics are not served, the node runs without them: %s', error)
 
     async def _hold_terms(self) -> None:
-        """Do the holder's work while this node has the term."""
+        """Run a holder for each term that this node takes."""
         while True:
             term = self._keeper.held
             if term is None:
@@ -127,11 +134,12 @@
             try:
                 await self._hold_term(term, holder)
             except Exception:
-                # Another holder of the same term would give out its run ids again.
+                # A new Holder in the same term would assign the same run ids again.
                 self._keeper.depose('unexpected error')
                 raise
 
     async def _hold_term(self, term: HeldTerm, holder: Holder) -> None:
+        """Run the holder until this node no longer holds the term."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(holder.run)
             while self._keeper.held is term:
@@ -139,15 +147,18 @@
             nursery.cancel_scope.cancel()
 
 
-async def note_reloads() -> None:
-    """Log SIGHUP: the settings that can change while a node runs come from the store."""
+async def log_reload_signals() -> None:
+    """Log each SIGHUP and do nothing else.
+
+    The settings file is read once at start; rules that change while a node runs come from the store.
+    """
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
-            log.info('SIGHUP: settings file may have changed; nothing in it is reloaded')
+            log.info('SIGHUP received: ignored, the settings file is read only at start')
 
 
 async def run_node(settings: NodeSettings) -> None:
-    """Run a node with the clocks of the system."""
-    configure_logs('human', output=BoundedHandler(STANDARD_ERROR))
-    log.info('node %s starts in %s', settings.name, settings.data_centre)
+    """Run a node with the system clock and log to standard error."""
+    configure_logs('human', output=BoundedHandler(STANDARD_ERROR_FD))
+    log.info('node %s starts in data centre %s', settings.name, settings.data_centre)
     await Node(settings, SystemClock()).run()
--- a/comfreywind/platform/__init__.py
+++ b/comfreywind/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform: table service, object store and VM list."""
+"""Adapters to the platform: clients of its services and of the targets, and codecs of its formats."""
--- a/comfreywind/platform/amounts.py
+++ b/comfreywind/platform/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of resources as the users' platform writes them."""
+"""Amounts of resources in the platform's format."""
 
 from pydantic import BaseModel, ConfigDict
 
@@ -6,7 +6,7 @@
 
 
 class Amounts(BaseModel):
-    """Processor time in thousandths of a core, memory in megabytes, accelerators."""
+    """Processor time in thousandths of a core, memory in megabytes and number of accelerators."""
 
     model_config = ConfigDict(extra='ignore', frozen=True)
 
@@ -15,5 +15,5 @@
     gpu: int = 0
 
     def to_resources(self) -> Resources:
-        """Return the amounts in the product's type."""
+        """Return the amounts as Resources."""
         return Resources(self.cpu, self.mem_mb, self.gpu)
--- a/comfreywind/platform/caller_codec.py
+++ b/comfreywind/platform/caller_codec.py
@@ -1,4 +1,4 @@
-"""Decodes the jobs that callers hand in and names states as callers expect them."""
+"""Decodes the jobs that callers submit, and maps job states to the names that callers expect."""
 
 import re
 
@@ -21,7 +21,7 @@
 from comfreywind.jobs.step import Step
 
 JOB_ID_PATTERN = re.compile('[0-9a-f]{16}')
-SPEC_LIMIT = 4000
+SPEC_LIMIT_CHARACTERS = 4000
 STATE_NAMES = {
     JobState.QUEUED: 'queued',
     JobState.RUNNING: 'in_progress',
@@ -50,7 +50,7 @@
     long_running: bool = False
     image: str = Field(default='', max_length=TEXT_LIMIT_CHARACTERS)
     target_ms: int = Field(default=0, ge=0, le=AMOUNT_LIMIT)
-    # Despite its name a flag: the step takes what others leave.
+    # Despite its name a flag: the tasks use processor time that other tasks leave idle.
     fill_count: bool | int = False
     max_unavailable: int = Field(default=0, ge=0, le=AMOUNT_LIMIT)
 
@@ -58,7 +58,7 @@
 class _JobRequest(BaseModel):
     model_config = ConfigDict(extra='ignore', frozen=True)
 
-    spec: str = Field(default='', max_length=SPEC_LIMIT)
+    spec: str = Field(default='', max_length=SPEC_LIMIT_CHARACTERS)
     steps: list[_Step] = Field(min_length=1, max_length=STEP_LIMIT)
     repeat_count: int = Field(default=0, ge=0, le=TASK_LIMIT)
     start_at_ms: int = Field(default=0, ge=0, le=TIME_LIMIT_MS)
@@ -68,14 +68,16 @@
 def decode_job_request(
     body: bytes, job_id: str, team: str, queue: Queue, accepted_ms: int, row_limit_bytes: int
 ) -> Job:
-    """Return the job of a request body; raise JobRequestError naming what is wrong in it."""
+    """Return the job in a request body; raise JobRequestError, which names the invalid fields."""
     try:
         request = _JobRequest.model_validate_json(body)
     except ValidationError as error:
-        reasons = '; '.join(f'{_join(part["loc"])}: {part["msg"]}' for part in error.errors()[:3])
+        reasons = '; '.join(
+            f'{_format_location(detail["loc"])}: {detail["msg"]}' for detail in error.errors()[:3]
+        )
         raise JobRequestError(f'the job is not valid: {reasons}') from error
     steps = tuple(map(_decode_step, request.steps))
-    _check_order(steps)
+    _check_dependencies(steps)
     job = Job(
         job_id=job_id,
         team=team,
@@ -92,22 +94,25 @@
 
 
 def _check_size(job: Job, row_limit_bytes: int) -> None:
-    """Refuse a job that could not be scheduled or whose row the store would refuse."""
-    excess = describe_exceeded_limit(job)
-    if excess is not None:
-        raise JobRequestError(f'the job is too large: {excess}')
-    # The store counts the encoded value, a third longer.
+    """Raise JobRequestError for a job beyond the limits or whose row the store would refuse."""
+    exceeded_limit = describe_exceeded_limit(job)
+    if exceeded_limit is not None:
+        raise JobRequestError(f'the job is too large: {exceeded_limit}')
+    # The store counts the length in base64, which is a third longer.
     size_bytes = len(encode_job(job)) * 4 // 3
     if size_bytes > row_limit_bytes:
         raise JobRequestError(f'the job takes {size_bytes} bytes of {row_limit_bytes}')
 
 
-def _join(location: tuple[int | str, ...]) -> str:
+def _format_location(location: tuple[int | str, ...]) -> str:
     return '.'.join(map(str, location)) or 'body'
 
 
-def _check_order(steps: tuple[Step, ...]) -> None:
-    """Refuse a step that waits for itself or a later one: only earlier ones may be named."""
+def _check_dependencies(steps: tuple[Step, ...]) -> None:
+    """Raise JobRequestError for a step that depends on itself or a later step.
+
+    With dependencies on earlier steps only, there can be no cycle.
+    """
     for number, step in enumerate(steps):
         if any(not 0 <= earlier < number for earlier in step.after):
             raise JobRequestError(f'steps.{number}.after: names a step that is not earlier')
--- a/comfreywind/platform/changes.py
+++ b/comfreywind/platform/changes.py
@@ -1,4 +1,4 @@
-"""What a read of the change feed returns."""
+"""The result of a read of the change feed."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Rows changed since the asked sequence, oldest first, and the sequence they reach."""
+    """Rows changed after the requested sequence number, oldest first.
+
+    `sequence` is the number up to which the rows are complete; the next read starts after it.
+    """
 
     sequence: int
     rows: tuple[Row, ...]
--- a/comfreywind/platform/concurrent_calls.py
+++ b/comfreywind/platform/concurrent_calls.py
@@ -1,4 +1,4 @@
-"""Runs several calls to the platform at the same time."""
+"""Runs several calls to the platform concurrently."""
 
 from collections.abc import Awaitable, Callable, Iterable
 
@@ -8,7 +8,10 @@
 
 
 async def run_concurrently(calls: Iterable[Callable[[], Awaitable[None]]]) -> None:
-    """Run all calls; when some fail for want of the store, raise the first such error alone."""
+    """Run all calls to their end, then raise the first StoreUnavailableError if there was any.
+
+    The error is raised as it is, not in an exception group. Any other error ends all calls.
+    """
     failures: list[StoreUnavailableError] = []
 
     async def run(call: Callable[[], Awaitable[None]]) -> None:
--- a/comfreywind/platform/node_file.py
+++ b/comfreywind/platform/node_file.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the users' platform places on a VM (TOML)."""
+"""Reads a node's settings from the TOML file that the platform places on its VM."""
 
 import tomllib
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 class _Section(BaseModel):
-    """A table of the file; unknown fields are ignored, because new ones may come."""
+    """A table of the file; unknown keys are ignored, because the platform may add some."""
 
     model_config = ConfigDict(extra='ignore', frozen=True)
 
@@ -27,8 +27,9 @@
 
 class _Limits(_Section):
     memory_mb: int = 300
-    # The share of a core, which is `cores` times as fast as a usual one.
+    # Fraction of the VM's processor that the node may use.
     cpu_quota: float = 1
+    # Speed of that processor as a multiple of a usual core.
     cores: float = 1
 
 
@@ -72,7 +73,7 @@
 
 
 def load_node_settings(path: Path) -> NodeSettings:
-    """Return the settings in the file; raise SettingsError naming the key that is wrong."""
+    """Return the settings in the file; raise SettingsError, which names the invalid key."""
     try:
         document = tomllib.loads(path.read_text(encoding='utf-8'))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -81,7 +82,7 @@
 
 
 def decode_node_settings(document: dict[str, Any], source: str) -> NodeSettings:
-    """Return the settings of a parsed file; raise SettingsError naming the key that is wrong."""
+    """Return the settings in a parsed file; raise SettingsError, which names the invalid key."""
     node_file = validate_model(_NodeFile, document, source)
     cloud = node_file.cloud_api
     return NodeSettings(
@@ -91,7 +92,7 @@
         ready_address=node_file.listen_addrs.ready,
         store_address=node_file.platform.address,
         vm_service_address=cloud.address if cloud else None,
-        advice_address=_parse_optional(node_file.recommendation),
+        advice_address=_parse_optional_address(node_file.recommendation),
         timings=_decode_timings(node_file.bounds),
         store_limits=StoreLimits(node_file.platform.row_bytes, node_file.platform.history_s),
         vm_orders_per_s=cloud.duty_per_s if cloud else 0,
@@ -100,7 +101,7 @@
     )
 
 
-def _parse_optional(text: str) -> Address | None:
+def _parse_optional_address(text: str) -> Address | None:
     if not text:
         return None
     host, _, port = text.rpartition(':')
--- a/comfreywind/platform/row.py
+++ b/comfreywind/platform/row.py
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row with its version; `value` is None for a deleted row in a list of changes."""
+    """A row with its version; `value` is None in the change feed for a row that was deleted."""
 
     table: str
     key: str
--- a/comfreywind/platform/row_write.py
+++ b/comfreywind/platform/row_write.py
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RowWrite:
-    """Writes `value`, or deletes the row for None, when the row has the expected version.
+    """Writes `value`, or deletes the row when it is None, if the row has the expected version.
 
-    An expected version of 0 means that the row must not exist; None accepts any version.
+    An expected version of 0 requires that the row does not exist; None accepts any version.
     """
 
     table: str
--- a/comfreywind/platform/rows_client.py
+++ b/comfreywind/platform/rows_client.py
@@ -1,4 +1,4 @@
-"""Client of the users' table service."""
+"""Client of the platform's partitioned table service, which stores jobs, rules and registrations."""
 
 import base64
 import contextlib
@@ -23,28 +23,35 @@
 from comfreywind.platform.stored_row import RowChange, RowPage, StoredRow
 from comfreywind.settings.address import Address
 
-# A store that is 100 times slower than usual needs about a second for a transaction.
+# A store that is 100 times slower than usual takes about a second for a transaction.
 CALL_TIMEOUT_S = 1.5
-# A feed is answered after `wait_s` at the latest; the rest is for the network and a slow store.
+# Added to the longest wait of a feed read, for the network and a slow store.
 FEED_MARGIN_S = 1.5
 PAGE_ROWS = 500
-# A new holder reads all parts of its tables at the same time.
+# A new holder reads all partitions of its tables concurrently.
 CONNECTION_LIMIT = 48
 MS_PER_S = 1000
 STATUS_OK = 200
 STATUS_GONE = 410
 STATUS_CONFLICT = 412
-# With these nothing was done.
+# Statuses with which the store guarantees that the call had no effect.
 STATUSES_REFUSED = frozenset((403, 429, 503, 507))
 
 
 class RowsClient:
-    """Reads rows and changes, and commits transactions."""
+    """Reads rows and changes, and commits transactions.
+
+    Methods raise StoreUnavailableError without a usable reply, or its subclass StoreRefusedError when
+    the store refused the call and it had no effect.
+    """
 
     def __init__(
         self, address: Address, feed_wait_s: float, clock: Clock, metrics: Metrics | None = None
     ) -> None:
-        """Prepare the clients; feeds have one of their own, because they wait for changes."""
+        """Prepare clients of the address; a read of a feed waits up to `feed_wait_s` for changes.
+
+        Feeds have a client of their own, with a longer timeout.
+        """
         self._metrics = metrics or NoMetrics()
         self._client = HttpClient(address, CALL_TIMEOUT_S, CONNECTION_LIMIT)
         self._feed_client = HttpClient(address, feed_wait_s + FEED_MARGIN_S)
@@ -54,20 +61,20 @@
 
     @property
     def store_time(self) -> StoreTime | None:
-        """Return the last reading of the store's clock."""
+        """Return the last reading of the store's clock, or None before the first."""
         return self._store_time
 
     async def commit(
         self, partition: str, changes: Sequence[RowChange], permit: Permit | None = None
     ) -> int:
-        """Commit all changes to rows of one part or none; return the version they got.
+        """Commit all changes to rows of one partition or none; return the version of the new rows.
 
-        Raises RowsChangedError when an expected version was not met and StoreRefusedError when the
-        store refused the call, or `permit` was False when it was to be sent: nothing was written.
-        Raises StoreUnavailableError when the outcome is not known.
+        Raises RowsChangedError when a row did not have its expected version, and StoreRefusedError
+        when the store refused the call or `permit` returned False just before it was sent; in both
+        cases nothing was written. Raises StoreUnavailableError when the outcome is unknown.
         """
-        changed = _encode_changes(partition, changes)
-        status, document = await self._call('POST', '/v1/rows-tx', changed, permit)
+        transaction = _encode_changes(partition, changes)
+        status, document = await self._call('POST', '/v1/rows-tx', transaction, permit)
         if status == STATUS_CONFLICT:
             raise RowsChangedError(_read_rows(document))
         return _read_version(document)
@@ -81,7 +88,11 @@
         return StoredRow(table, partition, key, None, 0)
 
     async def read_partition(self, table: str, partition: str) -> RowPage:
-        """Return all rows of a part; the version is that of the first page."""
+        """Return all rows of a partition, read page by page.
+
+        The version is that of the first page, so that reading the feed after it misses no change
+        made between the reads of two pages.
+        """
         rows: list[StoredRow] = []
         version: int | None = None
         has_more = True
@@ -93,21 +104,22 @@
             version = page.version if version is None else version
         return RowPage(tuple(rows), version or 0)
 
-    async def read_partitions(self, table: str, parts: Iterable[str]) -> list[RowPage]:
-        """Return all rows of each part in the order of the parts, asked for at the same time."""
+    async def read_partitions(self, table: str, partitions: Iterable[str]) -> list[RowPage]:
+        """Return all rows of each partition, in the given order; partitions are read concurrently."""
         pages: dict[str, RowPage] = {}
 
         async def read(partition: str) -> None:
             pages[partition] = await self.read_partition(table, partition)
 
-        wanted = tuple(parts)
-        await run_concurrently([partial(read, partition) for partition in wanted])
-        return [pages[partition] for partition in wanted]
+        names = tuple(partitions)
+        await run_concurrently([partial(read, partition) for partition in names])
+        return [pages[partition] for partition in names]
 
     async def read_changes(self, table: str, after_version: int) -> RowPage:
-        """Return rows of the table that changed after the version, waiting for the first.
+        """Return the rows of the table that changed after the version.
 
-        Raises HistoryLostError when the store no longer has that history.
+        Without a change it waits for the first one, up to `feed_wait_s`. Raises HistoryLostError
+        when the store has dropped the history after that version.
         """
         path = (
             f'/v1/rows-feed?table_name={quote(table, safe="")}'
@@ -115,7 +127,9 @@
         )
         reply = await _call(self._feed_client, 'GET', path)
         if reply.status == STATUS_GONE:
-            raise HistoryLostError(f'{table}: no history after version {after_version}')
+            raise HistoryLostError(
+                f'table {table}: the store has dropped the history after version {after_version}'
+            )
         return _decode_page(_read_document(reply))
 
     async def _read_page(self, table: str, partition: str, bounds: str) -> RowPage:
@@ -124,27 +138,27 @@
         return _decode_page(document)
 
     async def _call(
-        self, method: str, path: str, sent: object | None = None, permit: Permit | None = None
+        self, method: str, path: str, request: object | None = None, permit: Permit | None = None
     ) -> tuple[int, dict[str, Any]]:
-        """Return the status, 200 or 412, and the document of the reply."""
-        asked_s = self._clock.read_monotonic_s()
+        """Return the status (200 or 412) and the document of the reply, and record metrics."""
+        sent_s = self._clock.read_monotonic_s()
         try:
-            reply = await _call(self._client, method, path, sent, permit)
+            reply = await _call(self._client, method, path, request, permit)
         except StoreUnavailableError:
             self._metrics.count('store_calls.unanswered')
             raise
-        duration_s = self._clock.read_monotonic_s() - asked_s
+        duration_s = self._clock.read_monotonic_s() - sent_s
         self._metrics.record_duration(f'store_calls.{method}', duration_s)
         self._metrics.count(f'store_calls.{reply.status}')
         document = _read_document(reply)
         if reply.status == STATUS_OK:
-            self._note_time(document, asked_s)
+            self._update_store_time(document, sent_s)
         return reply.status, document
 
-    def _note_time(self, document: dict[str, Any], asked_s: float) -> None:
-        with _reading_document():
+    def _update_store_time(self, document: dict[str, Any], sent_s: float) -> None:
+        with _wrap_decoding_errors():
             store_ms = float(document['now_ms'])
-        self._store_time = StoreTime(store_ms, asked_s, self._clock.read_monotonic_s())
+        self._store_time = StoreTime(store_ms, sent_s, self._clock.read_monotonic_s())
 
 
 async def _call(
@@ -159,29 +173,34 @@
     except CallNotPermittedError as error:
         raise StoreRefusedError(f'{method} {path[:60]}: {error}') from error
     except CALL_FAILURES as error:
-        raise StoreUnavailableError(f'{method} {path[:60]}: {error!r}') from error
+        raise StoreUnavailableError(f'{method} {path[:60]}: no reply: {error!r}') from error
 
 
 def _read_document(reply: HttpReply) -> dict[str, Any]:
     if reply.status in STATUSES_REFUSED:
-        raise StoreRefusedError(f'status {reply.status}')
+        raise StoreRefusedError(f'the store refused the call: status {reply.status}')
     if reply.status not in (STATUS_OK, STATUS_CONFLICT):
-        raise StoreUnavailableError(f'status {reply.status}: {reply.body[:200]!r}')
-    with _reading_document():
+        raise StoreUnavailableError(
+            f'unexpected reply of the store: status {reply.status}, body {reply.body[:200]!r}'
+        )
+    with _wrap_decoding_errors():
         return dict(reply.read_json())
 
 
 @contextlib.contextmanager
-def _reading_document() -> Iterator[None]:
-    """Turn a reply of another form into an outcome that is not known."""
+def _wrap_decoding_errors() -> Iterator[None]:
+    """Raise StoreUnavailableError for errors of decoding a reply in the block.
+
+    A reply in an unexpected form doesn't tell whether the call took effect.
+    """
     try:
         yield
     except (ValueError, TypeError, LookupError) as error:
-        raise StoreUnavailableError(f"reply of the store can't be read: {error!r}") from error
+        raise StoreUnavailableError(f"reply of the store can't be decoded: {error!r}") from error
 
 
 def _read_version(document: dict[str, Any]) -> int:
-    with _reading_document():
+    with _wrap_decoding_errors():
         return int(document['schema_ver'])
 
 
@@ -211,7 +230,7 @@
 
 
 def _read_rows(document: dict[str, Any]) -> tuple[StoredRow, ...]:
-    with _reading_document():
+    with _wrap_decoding_errors():
         return tuple(map(_decode_row, document['rows']))
 
 
--- a/comfreywind/platform/rules_codec.py
+++ b/comfreywind/platform/rules_codec.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration into the rules for jobs."""
+"""Decodes the configuration that the operator stores into the rules for jobs."""
 
 import logging
 
@@ -58,11 +58,14 @@
 
 
 def decode_rules(payload: bytes) -> JobRules | None:
-    """Return the rules, or None with a log line when the configuration can't be read."""
+    """Return the rules, or None, and log a warning, when the configuration is invalid."""
     try:
         config = _Config.model_validate_json(payload)
     except ValidationError as error:
-        log.warning("configuration can't be read and is ignored: %s", error.errors()[:3])
+        log.warning(
+            "configuration can't be read and is ignored, the rules stay as they are: %s",
+            error.errors()[:3],
+        )
         return None
     return JobRules(
         version=config.version,
--- a/comfreywind/platform/store_call.py
+++ b/comfreywind/platform/store_call.py
@@ -1,4 +1,4 @@
-"""One call to a service of the platform, with its failures as one error type."""
+"""Calls a service of the platform and reports all failures as one error type."""
 
 import httpcore
 import trio
@@ -7,6 +7,7 @@
 from comfreywind.http.client import HeaderItems, HttpClient, HttpReply
 
 LOWEST_SERVER_ERROR = 500
+# What a call of HttpClient raises when there is no reply.
 CALL_FAILURES = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
@@ -23,9 +24,9 @@
     document: object | None = None,
     headers: HeaderItems | None = None,
 ) -> HttpReply:
-    """Return the reply; raise StoreUnavailableError when there is none or a server error.
+    """Return the reply; raise StoreUnavailableError without one or for a 5xx status.
 
-    After the error, a write may or may not have taken effect.
+    After that error, a write may or may not have taken effect.
     """
     try:
         reply = await client.call(method, path, document, headers)
--- a/comfreywind/platform/table_client.py
+++ b/comfreywind/platform/table_client.py
@@ -19,11 +19,14 @@
     """Reads rows and changes, and commits transactions."""
 
     def __init__(self, client: HttpClient) -> None:
-        """Use the given client; its timeout holds for each call."""
+        """Use the given client; its timeout applies to each call."""
         self._client = client
 
     async def read_row(self, table: str, key: str) -> Row | None:
-        """Return the row or None; raise StoreUnavailableError when the service doesn't answer."""
+        """Return the row, or None when it does not exist.
+
+        Raises StoreUnavailableError when the service gives no reply.
+        """
         path = f'/v1/tables/{table}/rows/{quote(key, safe="")}'
         reply = await call_store(self._client, 'GET', path)
         if reply.status == STATUS_MISSING:
@@ -31,7 +34,7 @@
         return Row(**reply.read_json())
 
     async def read_changes(self, after_sequence: int, tables: Iterable[str]) -> Changes:
-        """Return the rows of the tables that changed after the sequence."""
+        """Return the rows of the tables that changed after the sequence number."""
         path = f'/v1/changes?after_sequence={after_sequence}&tables={",".join(tables)}'
         reply = await call_store(self._client, 'GET', path)
         document = reply.read_json()
@@ -40,8 +43,8 @@
     async def commit(self, writes: Sequence[RowWrite]) -> tuple[int, ...]:
         """Commit all writes or none; return the new versions in the order of the writes.
 
-        Raises RowConflictError when a condition failed and nothing was written, and
-        StoreUnavailableError when the outcome is not known.
+        Raises RowConflictError when a row did not have its expected version, so that nothing was
+        written, and StoreUnavailableError when the outcome is unknown.
         """
         document = {'writes': [asdict(write) for write in writes]}
         reply = await call_store(self._client, 'POST', '/v1/transactions', document)
--- a/comfreywind/platform/target_client.py
+++ b/comfreywind/platform/target_client.py
@@ -1,4 +1,4 @@
-"""Calls one target: start, stop, hold and pace."""
+"""Client of one target: starts, stops and paces its runs, and extends their lease."""
 
 import json
 import logging
@@ -14,8 +14,9 @@
 from comfreywind.settings.address import Address
 
 ORDER_TIMEOUT_S = 0.8
+# Added to the longest wait of a hold call, for the network and a slow target.
 HOLD_MARGIN_S = 0.8
-# One for the long poll, the rest for orders; a new connection costs more than a call that waits.
+# Connections for orders. Few, because a new connection costs more than to wait for one in use.
 CONNECTION_LIMIT = 4
 MS_PER_S = 1000
 STATUS_OK = 200
@@ -35,22 +36,27 @@
     'room': StartAnswer.NO_ROOM,
     'ticket': StartAnswer.NO_TICKET,
 }
-# What decoding a report of another form raises.
-REPORT_FAILURES = (ValueError, LookupError, TypeError, ArithmeticError, AttributeError)
+# What decoding a report in an unexpected form raises.
+REPORT_ERRORS = (ValueError, LookupError, TypeError, ArithmeticError, AttributeError)
 
 log = logging.getLogger('comfreywind.targets')
 
 
 class TargetClient:
-    """Client of one life of a target; times are on the target's own clock."""
+    """Client of one incarnation of a target.
 
-    def __init__(
-        self, target_id: str, address: Address, longest_wait_s: float, permit: Permit
-    ) -> None:
-        """Prepare connections to the address; orders are sent only while `permit` is True."""
+    Every order carries the holder's fence, and the target refuses orders with a fence below the
+    highest that it has received. `expires_ms` is on the target's own clock.
+    """
+
+    def __init__(self, target_id: str, address: Address, max_wait_s: float, permit: Permit) -> None:
+        """Prepare clients of the address; hold calls wait up to `max_wait_s` for an ended run.
+
+        Orders are sent only if `permit` returns True just before they are sent.
+        """
         self._permit = permit
         self._client = HttpClient(address, ORDER_TIMEOUT_S, CONNECTION_LIMIT)
-        self._hold_client = HttpClient(address, longest_wait_s + HOLD_MARGIN_S, 1)
+        self._hold_client = HttpClient(address, max_wait_s + HOLD_MARGIN_S, 1)
         self._headers = [(HEADER_INSTANCE, target_id.encode())]
 
     async def start(
@@ -63,7 +69,10 @@
         checkpoint: str = '',
         ticket: str = '',
     ) -> StartAnswer:
-        """Order a start; UNKNOWN when there was no answer, then it may still be carried out."""
+        """Order the start of a run; the target refuses it after `expires_ms`.
+
+        Returns UNKNOWN without a usable reply; the target may still start the run then.
+        """
         order: dict[str, Any] = {
             'task_id': str(key),
             'run_id': run_id,
@@ -77,22 +86,22 @@
         try:
             reply = await self._send('/v1/run-start', order)
         except CallNotPermittedError as error:
-            log.info('start of %s run %d is not sent: %s', key, run_id, error)
+            log.info('start of task %s run %d: order not sent: %s', key, run_id, error)
             return StartAnswer.EXPIRED
         except CALL_FAILURES as error:
-            log.info('start of %s run %d has no answer: %r', key, run_id, error)
+            log.info('start of task %s run %d: no reply, outcome unknown: %r', key, run_id, error)
             return StartAnswer.UNKNOWN
         if reply.status != STATUS_CONFLICT:
             return ANSWERS_BY_STATUS.get(reply.status, StartAnswer.UNKNOWN)
         return ANSWERS_BY_REASON.get(_read_reason(reply), StartAnswer.UNKNOWN)
 
     async def stop(self, key: TaskKey, run_id: int, fence: int) -> bool:
-        """Order a stop; return whether the target confirmed it."""
+        """Order the stop of a run; return whether the target confirmed it."""
         order = {'task_id': str(key), 'run_id': run_id, 'fencing_token': fence}
         return await self._order('/v1/run-stop', order)
 
     async def pace(self, key: TaskKey, run_id: int, percent: int, fence: int) -> bool:
-        """Let a task work at a share of its pace; return whether the target confirmed it."""
+        """Limit a run to a percentage of its full pace; return whether the target confirmed it."""
         order = {
             'task_id': str(key),
             'run_id': run_id,
@@ -104,11 +113,16 @@
     async def hold(
         self, fence: int, last_seen: int, expires_ms: int | None, wait_ms: int
     ) -> TargetReport | None:
-        """Extend the lease of all runs, acknowledge ends up to `last_seen` and return the lists.
+        """Extend the lease of all runs to `expires_ms` and return the report of the target.
+
+        `last_seen` acknowledges ended runs up to that number; the target drops them from its
+        reports. Without `expires_ms` the lease is not extended. The target delays the reply by up
+        to `wait_ms` while no run has ended.
 
-        Returns None when a holder with a higher fence has taken over. Raises TargetSilentError
-        without a usable answer, TargetReplacedError when another life answers, and
-        CallNotPermittedError when a lease would be extended without the permission.
+        Returns None when the target has received a higher fence, from a later holder. Raises
+        TargetSilentError without a usable reply, TargetReplacedError when another incarnation
+        replies, and CallNotPermittedError when the lease would be extended but `permit` returns
+        False.
         """
         order = {'fencing_token': fence, 'last_seen': last_seen}
         if expires_ms is not None:
@@ -119,9 +133,9 @@
         try:
             reply = await self._hold_client.call('POST', '/v1/hold', order, self._headers, permit)
         except CALL_FAILURES as error:
-            raise TargetSilentError(f'hold: {error!r}') from error
+            raise TargetSilentError(f'hold: no reply: {error!r}') from error
         if reply.status == STATUS_REPLACED:
-            raise TargetReplacedError('another life answers')
+            raise TargetReplacedError('hold: another incarnation of the target replied')
         if reply.status == STATUS_CONFLICT:
             return None
         if reply.status != STATUS_OK:
@@ -140,10 +154,10 @@
         try:
             reply = await self._send(path, order)
         except CallNotPermittedError as error:
-            log.info('%s of %s is not sent: %s', path, order['task_id'], error)
+            log.info('%s of task %s: order not sent: %s', path, order['task_id'], error)
             return False
         except CALL_FAILURES as error:
-            log.info('%s of %s has no answer: %r', path, order['task_id'], error)
+            log.info('%s of task %s: no reply, not confirmed: %r', path, order['task_id'], error)
             return False
         return reply.status == STATUS_OK
 
@@ -152,15 +166,17 @@
     try:
         return str(reply.read_json().get('reason', ''))
     except (ValueError, AttributeError) as error:
-        log.warning("answer of a target can't be read: %s", error)
+        log.warning("start refused for an unknown reason: the reply can't be decoded: %s", error)
         return ''
 
 
 def _decode_report(reply: HttpReply) -> TargetReport:
     try:
         return _make_report(json.loads(reply.body))
-    except REPORT_FAILURES as error:
-        raise TargetSilentError(f"hold: answer can't be read: {error!r}") from error
+    except REPORT_ERRORS as error:
+        raise TargetSilentError(
+            f"hold: report of the target can't be decoded: {error!r}"
+        ) from error
 
 
 def _make_report(document: dict[str, Any]) -> TargetReport:
--- a/comfreywind/platform/target_codec.py
+++ b/comfreywind/platform/target_codec.py
@@ -1,4 +1,4 @@
-"""Decodes what targets register in the platform's store."""
+"""Decodes the registrations of targets in the platform's store."""
 
 import logging
 
@@ -28,16 +28,22 @@
 
 
 def decode_target(target_id: str, payload: bytes) -> TargetEntry | None:
-    """Return the target, or None for an entry that another writer left and that names no target."""
+    """Return the target, or None, and log it, when the registration is invalid."""
     try:
         registration = _Registration.model_validate_json(payload)
     except ValidationError as error:
         log.info(
-            "entry of target %s can't be read and is ignored: %s", target_id, error.errors()[:2]
+            "registration of target %s can't be read and is ignored: %s",
+            target_id,
+            error.errors()[:2],
         )
         return None
     if registration.state not in STATES:
-        log.info('entry of target %s is ignored: unknown state %r', target_id, registration.state)
+        log.info(
+            "registration of target %s is ignored: state %r is not 'ready' or 'draining'",
+            target_id,
+            registration.state,
+        )
         return None
     return TargetEntry(
         target_id=target_id,
--- a/comfreywind/platform/vm_client.py
+++ b/comfreywind/platform/vm_client.py
@@ -1,4 +1,4 @@
-"""Client of the users' VM service: the list of VMs, moves and upkeep."""
+"""Client of the platform's VM service: lists VMs, and orders moves and maintenance."""
 
 import enum
 import logging
@@ -17,13 +17,17 @@
 CALL_TIMEOUT_S = 1.2
 STATUS_OK = 200
 
+# Returns whether an order for the VM of that name may be sent now.
 VmPermit = Callable[[str], bool]
 
 log = logging.getLogger('comfreywind.vms')
 
 
 class VmOrderAnswer(enum.StrEnum):
-    """Answer to a move or an upkeep; UNKNOWN may still be carried out."""
+    """Result of an order; after UNKNOWN the service may still carry it out.
+
+    REFUSED means that the order had no effect: the service refused it or it was not sent.
+    """
 
     DONE = 'done'
     REFUSED = 'refused'
@@ -31,10 +35,10 @@
 
 
 class VmClient:
-    """Reads the list of VMs and orders moves and upkeep under the holder's fence."""
+    """Reads the list of VMs, and orders moves and maintenance with the holder's fence."""
 
     def __init__(self, address: Address, permit: VmPermit) -> None:
-        """Prepare connections; an order is sent only if `permit` is True of its VM at that moment."""
+        """Prepare a client; an order is sent only if `permit` returns True for its VM just before."""
         self._permit = permit
         self._client = HttpClient(address, CALL_TIMEOUT_S, 4)
 
@@ -50,11 +54,11 @@
         return vms
 
     async def move(self, vm: str, pool: str, holder: str, fence: int) -> VmOrderAnswer:
-        """Order a VM into another pool; everything that runs on it ends at once."""
+        """Order the move of a VM to another pool; all runs on it end at once."""
         return await self._order('/v1/machine-move', {'machine': vm, 'pool': pool}, holder, fence)
 
     async def maintain(self, vm: str, wave: int, holder: str, fence: int) -> VmOrderAnswer:
-        """Order the upkeep of a VM; everything that runs on it ends at once."""
+        """Order the maintenance of a VM in a wave; all runs on it end at once."""
         order = {'machine': vm, 'rollout_wave': wave}
         return await self._order('/v1/machine-upkeep', order, holder, fence)
 
@@ -62,7 +66,7 @@
         try:
             reply = await self._client.call('GET', path)
         except CALL_FAILURES as error:
-            raise StoreUnavailableError(f'list of VMs: {error!r}') from error
+            raise StoreUnavailableError(f'list of VMs: no reply: {error!r}') from error
         if reply.status != STATUS_OK:
             raise StoreUnavailableError(f'list of VMs: status {reply.status}')
         document: dict[str, Any] = reply.read_json()
@@ -76,14 +80,20 @@
         try:
             reply = await self._client.call('POST', path, order, headers, permit)
         except CallNotPermittedError as error:
-            log.info('%s of %s is not sent: %s', path, order['machine'], error)
+            log.info('%s of VM %s: order not sent: %s', path, order['machine'], error)
             return VmOrderAnswer.REFUSED
         except CALL_FAILURES as error:
-            log.info('%s of %s has no answer: %r', path, order['machine'], error)
+            log.info('%s of VM %s: no reply, outcome unknown: %r', path, order['machine'], error)
             return VmOrderAnswer.UNKNOWN
         if reply.status == STATUS_OK:
             return VmOrderAnswer.DONE
-        log.info('%s of %s: %d %r', path, order['machine'], reply.status, reply.body[:80])
+        log.info(
+            '%s of VM %s: refused with status %d: %r',
+            path,
+            order['machine'],
+            reply.status,
+            reply.body[:80],
+        )
         return VmOrderAnswer.REFUSED
 
 
--- a/comfreywind/platform/vm_entry.py
+++ b/comfreywind/platform/vm_entry.py
@@ -1,4 +1,4 @@
-"""A VM on the platform's list."""
+"""A VM on the platform's VM list."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VmEntry:
-    """A VM as the platform lists it; the list lags behind what is true."""
+    """A VM as the platform lists it; the list lags behind the actual state."""
 
     name: str
     address: Address
--- a/comfreywind/platform/vm_list_client.py
+++ b/comfreywind/platform/vm_list_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's VM list."""
+"""Client of the platform's VM list, through which VMs are also rebooted."""
 
 from urllib.parse import quote
 
@@ -14,18 +14,18 @@
 
 
 class VmListClient:
-    """Reads the lagging list of VMs and asks for reboots."""
+    """Reads the list of VMs, which lags behind the actual state, and requests reboots."""
 
     def __init__(self, client: HttpClient) -> None:
-        """Use the given client; its timeout holds for each call."""
+        """Use the given client; its timeout applies to each call."""
         self._client = client
         self._entity_tag = b''
 
     async def read_vms(self) -> tuple[VmEntry, ...] | None:
         """Return the VMs on the list, or None when it has not changed since the last read.
 
-        The entity tag (RFC 9110 section 13.1.2) saves most of the traffic: at 7,100 VMs a list has
-        more than a megabyte and changes about once in 50 s.
+        A conditional request with the entity tag (RFC 9110 section 13.1.2) saves most of the
+        traffic: a list of 7,100 VMs is larger than a megabyte and changes about once in 50 s.
         """
         condition = [(b'if-none-match', self._entity_tag)] if self._entity_tag else []
         reply = await call_store(self._client, 'GET', '/v1/vms', headers=condition)
@@ -36,10 +36,10 @@
         return vms
 
     async def reboot(self, name: str, incarnation: int) -> None:
-        """Ask the platform to reboot the VM if it still has the incarnation (RFC 9110 If-Match).
+        """Request the reboot of a VM if it still has the incarnation (If-Match, RFC 9110).
 
-        Raises VmReplacedError when it has another one, so that a late call does not stop a VM that
-        has come back; StoreUnavailableError when the outcome is not known.
+        Raises VmReplacedError when it has another one: a delayed call must not reboot a VM that has
+        already come back. Raises StoreUnavailableError when the outcome is unknown.
         """
         condition = [(b'if-match', f'"{incarnation}"'.encode())]
         path = f'/v1/vms/{quote(name, safe="")}/reboot'
@@ -47,7 +47,7 @@
         if reply.status == STATUS_PRECONDITION_FAILED:
             raise VmReplacedError(f'VM {name} no longer has incarnation {incarnation}')
         if reply.status != STATUS_ACCEPTED:
-            raise StoreUnavailableError(f'reboot of {name}: status {reply.status}')
+            raise StoreUnavailableError(f'reboot of VM {name}: unexpected status {reply.status}')
 
 
 def _parse_vm(vm: dict[str, object]) -> VmEntry:
--- a/comfreywind/platform/wave_codec.py
+++ b/comfreywind/platform/wave_codec.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep: what the operator asks for and what it is told."""
+"""Decodes the maintenance waves that the operator requests, and encodes their state for it."""
 
 import json
 import logging
@@ -20,15 +20,15 @@
 
 
 def decode_wave(payload: bytes) -> MaintenanceWave | None:
-    """Return the wave, or None with a log line when it can't be read."""
+    """Return the wave, or None, and log a warning, when the row is invalid."""
     try:
         wave = _Wave.model_validate_json(payload)
     except ValidationError as error:
-        log.warning("wave can't be read and is ignored: %s", error.errors()[:2])
+        log.warning("maintenance wave can't be read and is ignored: %s", error.errors()[:2])
         return None
     return MaintenanceWave(wave.rollout_wave, tuple(wave.machines), wave.cap, wave.duration_s)
 
 
 def encode_wave_state(complete: bool) -> bytes:
-    """Return the row that tells the operator how far a wave is."""
+    """Return the value of the row that shows the operator whether a wave is complete."""
     return json.dumps({'state': 'complete' if complete else 'in_progress'}).encode()
--- a/comfreywind/platform/wire.py
+++ b/comfreywind/platform/wire.py
@@ -1,4 +1,4 @@
-"""Names of the users' platform: headers, tables and words."""
+"""Names that the platform defines: headers, tables, keys and the variable of the settings file."""
 
 HEADER_DEADLINE = b'comfreywind-deadline-ms'
 HEADER_INSTANCE = b'comfreywind-expected-instance'
--- a/comfreywind/settings/node.py
+++ b/comfreywind/settings/node.py
@@ -1,4 +1,4 @@
-"""Settings of a node, the process that runs on every VM of the system."""
+"""Settings of a node, the Comfreywind process that runs on every VM of the system."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """What the platform's store takes; sizes in bytes."""
+    """Limits of the platform's store.
+
+    `row_bytes` is the size of the largest row and `history_s` how long the store keeps the history
+    of changes that its feeds are read from.
+    """
 
     row_bytes: int = 65_536
     history_s: float = 20
@@ -15,11 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JobTimings:
-    """Bounds that the users set for jobs, in seconds unless the name has another unit.
+    """Time limits and ratios that the operators of the platform set for jobs.
 
-    `stop_grace_s` is how long a stopped task may take, `lease_limit_s` the longest lease that a
-    target grants, `status_retention_s` how long the state of a finished job can be asked for, and
-    `grace_s` the time between the request to stop and the end of a node.
+    `lease_limit_s` is the longest lease that a target grants, `stop_grace_s` how long a task may
+    take to stop, `status_retention_s` how long the state of an ended job can be queried,
+    `grace_s` how long a node may take to stop after SIGTERM, and `order_turn_s` the minimum time
+    between two holders' orders for the same VM.
     """
 
     lease_limit_s: float = 6
@@ -40,9 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Addresses and bounds of a node; `cores` is the processor time that its VM gives it.
+    """Addresses and limits of a node.
 
-    Metrics are served only where they have an address.
+    `cores` is the processor time of the node in cores of usual speed, `memory_mb` its memory and
+    `vm_orders_per_s` the rate of orders to the VM service. The VM service and the advice
+    service are used, and metrics are served, only if their addresses are set.
     """
 
     name: str
