--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -85,7 +85,7 @@
             return await self._insert(change, job, permit)
         except StoreRefusedError:
             raise
-        except StoreUnavailableError as error:
+        except StoreUnavailableError as first_error:
             log.info(
                 'job %s: outcome of the write unknown, writing it again: %s', job.job_id, error
             )
--- a/comfreywind/intake/ttl_cache.py
+++ b/comfreywind/intake/ttl_cache.py
@@ -8,11 +8,11 @@
 
 
 class TtlCache(Generic[Kept]):
-    """Keeps up to `entry_limit` values by key, each for `ttl_s` after it was put."""
+    """Keeps up to `limit` values by key, each for `ttl_s` after it was put."""
 
-    def __init__(self, entry_limit: int, ttl_s: float, clock: Clock) -> None:
-        """Start without entries."""
-        self._entry_limit = entry_limit
+    def __init__(self, limit: int, ttl_s: float, clock: Clock) -> None:
+        """Start empty."""
+        self._limit = limit
         self._ttl_s = ttl_s
         self._clock = clock
         self._entries: dict[str, tuple[Kept, float]] = {}
@@ -20,7 +20,7 @@
     def put(self, key: str, value: Kept) -> None:
         """Store a value under a key; a full cache evicts the entry that was put first."""
         self._entries.pop(key, None)
-        while len(self._entries) >= self._entry_limit:
+        while len(self._entries) >= self._limit:
             del self._entries[next(iter(self._entries))]
         self._entries[key] = (value, self._clock.read_monotonic_s() + self._ttl_s)
 
@@ -35,5 +35,5 @@
         return None
 
     def drop(self, key: str) -> None:
-        """Remove the entry of a key, if there is one."""
+        """Forget the value of a key."""
         self._entries.pop(key, None)
