--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -87,7 +87,9 @@
             raise
         except StoreUnavailableError as first_error:
             log.info(
-                'job %s: outcome of the write unknown, writing it again: %s', job.job_id, error
+                'job %s: outcome of the write unknown, writing it again: %s',
+                job.job_id,
+                first_error,
             )
         try:
             return await self._insert(change, job, permit)
