--- a/tests/field_faults/__init__.py
+++ b/tests/field_faults/__init__.py
@@ -1,1 +1,1 @@
-"""What went wrong for operators of similar systems, one module for each."""
+"""Faults that operators of similar systems reported, one module for each kind of fault."""
--- a/tests/field_faults/test_handover.py
+++ b/tests/field_faults/test_handover.py
@@ -1,9 +1,9 @@
-"""Around a hand-over between two processes, both acted for a moment, and orders went out twice.
+"""During a hand-over, the old and the new holder both act for a moment and send orders twice.
 
-It could happen here, seen once in these 40 schedules of slow, lost and refused answers of the store:
-a renewal that shortened the term had taken effect without an answer. Besides, `tests/model/handover_model.py`
-checks the orders of two holders exhaustively for one task. What did happen is an order that waited
-for a connection until its term was over: `test_paused_process.py`.
+The test runs random schedules of slow, lost and refused replies of the store. It found the fault
+once in 40 schedules: a renewal that shortened the term had taken effect, but its reply was lost.
+`tests/model/handover_model.py` checks the orders of two holders exhaustively for one task, and
+`test_paused_process.py` covers an order that waits for a connection until its term has ended.
 """
 
 import random
@@ -26,7 +26,7 @@
 
 
 class TermRowStore:
-    """The row of the term; it survives, its answers may not."""
+    """The stored row of the term, shared by all nodes."""
 
     def __init__(self) -> None:
         """Start without a row."""
@@ -35,25 +35,25 @@
 
 
 class FaultyRows:
-    """One node's way to the store: slow by turns, with lost and refused answers."""
+    """One node's client of the store, with random delays, lost replies and refusals."""
 
     store_time = None
 
     def __init__(self, store: TermRowStore, generator: random.Random) -> None:
-        """Use the store that all nodes share."""
+        """Use the shared store and a random generator for the faults."""
         self._store = store
         self._random = generator
 
     async def read_row(self, table: str, partition: str, key: str) -> StoredRow:
-        """Return the row as it is in the middle of the call."""
-        await self._travel()
+        """Return the row as it is when the request arrives, with a delay before and after."""
+        await self._delay_message()
         row = StoredRow(table, partition, key, self._store.payload, self._store.version)
-        await self._travel()
+        await self._delay_message()
         return row
 
     async def commit(self, partition: str, changes: Sequence[RowChange]) -> int:
-        """Write the row when its version is the expected one."""
-        await self._travel()
+        """Write the row if it has the expected version; refuse 10 % of calls, lose 10 % of replies."""
+        await self._delay_message()
         if self._random.random() < 0.1:
             raise StoreRefusedError('503')
         (change,) = changes
@@ -67,18 +67,22 @@
         version = self._store.version
         if self._random.random() < 0.1:
             await trio.sleep(CALL_TIMEOUT_S)
-            raise StoreUnavailableError('answer lost')
-        await self._travel()
+            raise StoreUnavailableError('reply lost')
+        await self._delay_message()
         return version
 
-    async def _travel(self) -> None:
+    async def _delay_message(self) -> None:
         slow = self._random.random() < 0.15
         await trio.sleep(self._random.uniform(0, 0.7 if slow else 0.01))
 
 
 @pytest.mark.parametrize('seed', range(40))
 async def test_one_holder(autojump_clock: trio.testing.MockClock, seed: int) -> None:
-    """Guards against two nodes that may give orders at the same moment, or none for long."""
+    """Never lets two nodes hold a valid term at once, and some node holds one most of the time.
+
+    Two holders at once could start a task twice; without a holder nothing is scheduled. Nodes
+    release the term and new ones join throughout the test.
+    """
     generator = random.Random(seed)
     store = TermRowStore()
     epochs: list[int] = []
--- a/tests/field_faults/test_lost_answer.py
+++ b/tests/field_faults/test_lost_answer.py
@@ -1,8 +1,8 @@
-"""After an answer was lost, work that had run was run again, or the caller was told it hadn't run.
+"""After a reply was lost, work that had run is run again, or its caller is told that it did not run.
 
-Not found here: a start without an answer counts as there until a later list of the target, asked for
-after the timeout, does not show it and a stop of it was confirmed; a job whose write had no answer is
-written again under the condition that it is new, and its caller gets 504 when that is refused.
+A start without a reply counts as a run until its stop is confirmed and a report of the target that
+was requested after the timeout does not show it. A job whose write had no reply is written again on
+the condition that it does not exist, and its caller gets 504 when that second write is refused.
 """
 
 import pytest
@@ -22,10 +22,10 @@
 
 
 class ScriptedRows:
-    """A store whose commits end as the test says: with a version or an error."""
+    """A store whose commits return the versions or raise the errors that the test lists."""
 
     def __init__(self, outcomes: list[int | Exception]) -> None:
-        """Keep the outcomes."""
+        """Use one of the outcomes, in order, for each commit."""
         self.outcomes = outcomes
 
     async def commit(self, *_: object) -> int:
@@ -51,7 +51,11 @@
 async def test_acceptance(
     outcomes: list[int | Exception], expected: bool | type[StoreUnavailableError]
 ) -> None:
-    """Guards against `not run` said of a job that may be stored, and against a second job."""
+    """Raises StoreRefusedError only for a job that is certainly not stored.
+
+    When the reply to the write of a job is lost, the job may be stored. A caller that was told it
+    is not would submit it again under a new id, and it would run twice.
+    """
     store = JobStore(ScriptedRows(list(outcomes)), 65_536, 120, ManualClock())  # type: ignore[arg-type]
     if isinstance(expected, bool):
         assert await store.accept(JOB, lambda: True) is expected
@@ -62,7 +66,7 @@
 
 
 def start_without_answer() -> tuple[BoardRig, StartOrder]:
-    """Return a board with a start whose answer was lost."""
+    """Return a scheduler state with a start order whose reply was lost, and the order."""
     rig = BoardRig(targets=2)
     rig.add_job()
     (order,) = rig.plan()
@@ -73,7 +77,10 @@
 
 @pytest.mark.parametrize('outcome', [RunOutcome.DONE, RunOutcome.FAILED])
 def test_run_ended_before_its_answer(outcome: RunOutcome) -> None:
-    """Guards against a task that runs again although its end is listed."""
+    """Uses the reported end of a run although the reply to its start was lost.
+
+    If only confirmed starts could end, a completed task would run again.
+    """
     rig, order = start_without_answer()
     rig.now_s += 1
     rig.report(order.target_id, ended=((order.key, order.run_id, outcome),))
@@ -82,7 +89,11 @@
 
 
 def test_run_carried_out_late() -> None:
-    """Guards against a second run while the first may still be carried out."""
+    """Starts no second run while the target may still carry out the first start order.
+
+    The order may be delayed on its way, so the first report without the run proves nothing: the run
+    appears later in the test. A new run is planned only after a confirmed stop and a later report.
+    """
     rig, order = start_without_answer()
     rig.now_s += 1
     (stop,) = rig.report(order.target_id)
--- a/tests/field_faults/test_malformed_message.py
+++ b/tests/field_faults/test_malformed_message.py
@@ -1,7 +1,7 @@
-"""One malformed message or unexpected error took a whole process down.
+"""One malformed message or unexpected error takes a whole process down.
 
-It could happen here: a target that listed the end of a task that a known job does not have ended the
-holder with an IndexError, and each later holder as well, because the target listed it again.
+A target that reported the end of a task that a known job does not have ended the holder with an
+IndexError, and each later holder as well, because the target reported the end again.
 """
 
 from typing import Any
@@ -26,14 +26,14 @@
 
 
 class CountingMetrics(NoMetrics):
-    """Keeps the names of counted events."""
+    """Records the names of counted events."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without events."""
         self.names: list[str] = []
 
     def count(self, name: str) -> None:
-        """Keep the name."""
+        """Record the name of an event."""
         self.names.append(name)
 
 
@@ -49,7 +49,10 @@
     ],
 )
 def test_end_of_no_task(key: TaskKey, outcome: RunOutcome) -> None:
-    """Guards against a holder that ends because of what one target lists."""
+    """Ignores runs of tasks that don't exist in a target's report, and goes on scheduling.
+
+    An IndexError or KeyError for such a run would end the holder.
+    """
     rig = BoardRig(targets=1)
     rig.add_job()
     rig.report('t0', ended=((key, 1, outcome),))
@@ -70,13 +73,19 @@
     ],
 )
 def test_report_of_another_form(body: bytes) -> None:
-    """Guards against an error that the link to a target has no answer to."""
+    """Raises TargetSilentError for a report in an unexpected form.
+
+    The link to a target handles only this error; any other one would end the holder.
+    """
     with pytest.raises(TargetSilentError):
         _decode_report(HttpReply(200, [], body))
 
 
 def test_job_that_cannot_be_planned(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against one job that keeps all others from being started."""
+    """Sets aside a job whose planning fails, and starts the others.
+
+    An error of one job that ended the whole plan would keep all jobs from being started.
+    """
     rig = BoardRig()
     rig.add_job()
     rig.add_job(make_job(job_id=OTHER_JOB_ID))
@@ -96,7 +105,11 @@
 
 
 async def test_supervised(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against work that never starts again, or starts again without a pause."""
+    """Restarts failed work after a pause and counts the errors.
+
+    Without a restart the work would stay down; without the pause a lasting error would use up the
+    processor.
+    """
     starts_s: list[float] = []
     metrics = CountingMetrics()
 
@@ -111,14 +124,14 @@
 
 
 class TwoRows:
-    """A store whose feed has two changes."""
+    """A store whose feed returns two changed rows once."""
 
     async def read_partitions(self, table: str, parts: tuple[str, ...]) -> list[RowPage]:
-        """Return an empty table."""
+        """Return empty partitions."""
         return [RowPage((), 1) for _ in parts]
 
     async def read_changes(self, table: str, after_version: int) -> RowPage:
-        """Return both rows, then wait."""
+        """Return both rows to the first call; later calls wait without end."""
         if after_version > 1:
             await trio.sleep_forever()
         rows = tuple(StoredRow(table, '', key, b'', 2) for key in ('bad', 'good'))
@@ -126,16 +139,19 @@
 
 
 async def test_row_that_cannot_be_taken(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a feed that ends, or skips the rows behind one that can't be taken in."""
-    taken: list[str] = []
+    """Goes on with the next row of a feed when the handler fails on one.
+
+    A feed that ended there, or dropped the rest of the page, would miss later changes.
+    """
+    applied: list[str] = []
 
-    def take(row: StoredRow) -> None:
+    def apply_row(row: StoredRow) -> None:
         if row.key == 'bad':
             raise KeyError(row.key)
-        taken.append(row.key)
+        applied.append(row.key)
 
     rows: Any = TwoRows()
-    feed = RowFeed(rows, 'table', ('',), take, TrioClock())
+    feed = RowFeed(rows, 'table', ('',), apply_row, TrioClock())
     with trio.move_on_after(1):
         await feed.run()
-    assert taken == ['good']
+    assert applied == ['good']
--- a/tests/field_faults/test_paused_process.py
+++ b/tests/field_faults/test_paused_process.py
@@ -1,9 +1,10 @@
-"""A process that had been paused for some seconds acted on a permission that had run out meanwhile.
+"""A process that was paused for some seconds acts on a permission that has expired meanwhile.
 
-It could happen here: the term was checked before an order, but an order then waited for one of four
-connections. A process that was suspended meanwhile sent it on waking, as the timeout of a call does
-not count the time of a suspension. Moves of VMs wait by the hundred, and the VM service of the users
-checks no fence. The same with a job that was accepted with a key withdrawn during the pause.
+The term was checked before an order, but the order then waited for one of four connections. A
+process that was suspended meanwhile sent it after it resumed, because the timeout of a call does
+not count the time of the suspension. Hundreds of moves of VMs may wait at the same time, and the
+VM service checks no fence. In the same way, a job was accepted with a key that had been withdrawn
+during the pause. So the permission is checked again just before a call is sent.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -32,42 +33,42 @@
 
 
 class Term:
-    """A permission that ends when the test says so."""
+    """A term that the test ends by clearing `valid`."""
 
     def __init__(self) -> None:
-        """Start with the permission."""
+        """Start with a valid term."""
         self.valid = True
 
     def may_send(self) -> bool:
-        """Return whether calls may be sent."""
+        """Return whether the term is valid."""
         return self.valid
 
 
 class BusyService:
-    """Counts the requests that reach it, and answers none before it is told to."""
+    """Counts the requests that reach it, and replies only after `may_reply` is set."""
 
     def __init__(self) -> None:
         """Start without a request."""
         self.requests = 0
-        self.answers = trio.Event()
+        self.may_reply = trio.Event()
 
     async def wait_until_busy(self) -> None:
-        """Return once all connections of a client carry a request."""
+        """Return once all connections of a client are in use."""
         with trio.fail_after(5):
             while self.requests < CONNECTIONS:
                 await trio.sleep(0.01)
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Answer the requests of one connection."""
+        """Reply to the requests on one connection."""
         async for _ in stream:
             self.requests += 1
-            await self.answers.wait()
+            await self.may_reply.wait()
             await stream.send_all(b'HTTP/1.1 200 OK\r\ncontent-length: 14\r\n\r\n{"clock_ms":1}')
 
 
 @asynccontextmanager
 async def run_service() -> AsyncIterator[tuple[BusyService, Address]]:
-    """Run a service until the block is left."""
+    """Run a service on a free port until the block ends; yield it and its address."""
     service = BusyService()
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(partial(trio.serve_tcp, host='127.0.0.1'), service.serve, 0)
@@ -78,17 +79,20 @@
 async def call_as_term_ends(
     service: BusyService, term: Term, call: Callable[[int], Awaitable[None]]
 ) -> None:
-    """Make more calls than there are connections, and end the term while the others wait."""
+    """Make more calls than there are connections, and end the term while the rest waits for one."""
     async with trio.open_nursery() as nursery:
         for number in range(CALLS):
             nursery.start_soon(call, number)
         await service.wait_until_busy()
         term.valid = False
-        service.answers.set()
+        service.may_reply.set()
 
 
 async def test_moves_that_wait() -> None:
-    """Guards against VMs that are moved by a holder whose term is over."""
+    """Does not send moves of VMs that waited for a connection until the term had ended.
+
+    The next holder may have ordered the same VM by then, and the VM service checks no fence.
+    """
     term, answers = Term(), []
     async with run_service() as (service, address):
         client = VmClient(address, lambda _: term.may_send())
@@ -102,7 +106,10 @@
 
 
 async def test_orders_that_wait() -> None:
-    """Guards against tasks started by a holder whose term is over; none of them may be in doubt."""
+    """Does not send orders to targets that waited for a connection until the term had ended.
+
+    Their answer is EXPIRED, not UNKNOWN: an order that was certainly not sent needs no later check.
+    """
     term, answers = Term(), []
     async with run_service() as (service, address):
         client = TargetClient('t0', address, 1, term.may_send)
@@ -120,7 +127,10 @@
 
 
 async def test_writes_that_wait() -> None:
-    """Guards against a job that is stored, or in doubt, with a permission that has ended."""
+    """Does not send a write whose permission has ended, and reports it as refused.
+
+    Reported as an unknown outcome, it would be sent again.
+    """
     term = Term()
     term.valid = False
     async with run_service() as (service, address):
@@ -131,10 +141,14 @@
 
 
 async def test_permission_does_not_spoil_connection() -> None:
-    """Guards against a client that can't call any more after a call that was not permitted."""
+    """Makes further calls after one that was not permitted.
+
+    The call that is given up holds a connection, which must not be lost to later calls: the client
+    of this test has a single one.
+    """
     term = Term()
     async with run_service() as (service, address):
-        service.answers.set()
+        service.may_reply.set()
         client = HttpClient(address, 1, 1)
         for valid in (True, False, True):
             term.valid = valid
@@ -147,7 +161,10 @@
 
 
 async def test_key_withdrawn_before_write(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a job accepted with a key that was withdrawn while the process was paused."""
+    """Refuses a job whose key was withdrawn between the check of the key and the write of the job.
+
+    The patched commit stands for a process that is paused before the write.
+    """
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         commit = RowsClient.commit
 
--- a/tests/field_faults/test_restart_forgets.py
+++ b/tests/field_faults/test_restart_forgets.py
@@ -1,8 +1,8 @@
-"""After a restart of a process, a server that had left, or a withdrawn key, was in use again.
+"""After the restart of a process, a server that had left, or a withdrawn key, is in use again.
 
-Not found here: a node keeps nothing, reads rules and registrations whole when it starts, and serves
-nobody before it has. The cases are the restart of all nodes at once, also with the history of the
-store dropped, and the start of a node while the store is away.
+A node keeps no state of its own: it reads all rules and registrations when it starts and serves no
+caller before. The tests restart all nodes at once, also after the store has dropped its history, and
+start a node while the store refuses calls.
 """
 
 import pytest
@@ -16,7 +16,7 @@
 
 
 async def remove_target_and_key(fleet: JobFleet) -> None:
-    """Let target i-0 leave, grant a key and withdraw it, and wait until a node knows."""
+    """Remove target i-0, add a key and withdraw it, and wait until node 0 applies each change."""
     fleet.store.store.put('servers', 'i-0', None)
     for version, keys, status in ((2, (KEY, WITHDRAWN_KEY), 410), (3, (KEY,), 401)):
         fleet.store.write_document('op', 'config', make_config(version, keys))
@@ -27,7 +27,10 @@
 
 @pytest.mark.parametrize('history_dropped', [False, True])
 async def test_all_nodes_restarted(history_dropped: bool) -> None:
-    """Guards against a node that serves by what it, or a holder before it, once knew."""
+    """Uses neither the withdrawn key nor the removed target after a restart of all nodes.
+
+    State of an earlier process or holder that outlived it would bring them back.
+    """
     async with run_job_fleet(node_count=2, target_count=2) as fleet:
         await remove_target_and_key(fleet)
         for scope in fleet.scopes:
@@ -48,18 +51,21 @@
 
 
 async def test_start_while_store_is_away() -> None:
-    """Guards against a node that admits callers before it knows the rules in force."""
+    """Does not serve callers before it has read the rules.
+
+    A node that served at once would do so without knowing keys that were withdrawn.
+    """
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         fleet.scopes[0].cancel()
         fleet.store.faults.refusing = True
 
-        async def bring_store_back() -> None:
+        async def restore_store() -> None:
             await trio.sleep(0.7)
             assert not fleet.log.starts
             fleet.store.faults.refusing = False
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(bring_store_back)
+            nursery.start_soon(restore_store)
             async with fleet.run_node('node-7') as node:
                 assert not fleet.store.faults.refusing
                 assert await fleet.submit(node, JOB) == 200
--- a/tests/field_faults/test_silent_target.py
+++ b/tests/field_faults/test_silent_target.py
@@ -1,8 +1,8 @@
-"""A machine that was only silent or slow to report had its running work started elsewhere, or given up.
+"""The work of a target that is only silent or slow is started elsewhere, or given up.
 
-Silence alone can't do it here: runs are only started elsewhere when their lease has certainly lapsed.
-Nor does a machine that takes up to 1.7 s for each answer: it loses nothing over 30 s. One that takes
-longer than that for all answers counts as silent, and its runs lapse after five seconds.
+A run is started elsewhere only when its lease has certainly lapsed. A target that takes up to 1.7 s
+for each reply keeps its runs over 30 s. One that takes longer for all replies counts as silent, and
+its runs lapse after five seconds.
 """
 
 from typing import Any
@@ -22,10 +22,14 @@
 
 
 class SlowTarget:
-    """Keeps one run under a lease, and answers late or, in `silent_s`, not at all."""
+    """A target with one run under a lease, whose replies are late or missing.
+
+    Each reply is delayed by `delay_s`. In the period `silent_s`, in seconds after the start from
+    its first to its second value, there are no replies.
+    """
 
     def __init__(self, rig: BoardRig, delay_s: float, silent_s: tuple[float, float]) -> None:
-        """Run what the board has on t0, with a lease that was just extended."""
+        """Start the run that the scheduler orders, with a lease of 5 s."""
         (self.order,) = rig.start()
         self._delay_s = delay_s
         self._silent_s = silent_s
@@ -36,30 +40,30 @@
     async def hold(
         self, fence: int, last_seen: int, expires_ms: int | None, wait_ms: int
     ) -> TargetReport:
-        """Extend the lease and list the run; raise TargetSilentError as the client does."""
-        self._note_lapse()
+        """Extend the lease and report the run; raise TargetSilentError as the client does."""
+        self._update_lapsed()
         begin_s, end_s = self._silent_s
         if begin_s <= trio.current_time() - self._started_s < end_s:
-            await self._give_up_after(LONGEST_WAIT_S + HOLD_MARGIN_S)
-        answer_s = wait_ms / MS_PER_S + self._delay_s
+            await self._time_out_after(LONGEST_WAIT_S + HOLD_MARGIN_S)
+        reply_s = wait_ms / MS_PER_S + self._delay_s
         if expires_ms is not None and not self.lapsed:
             self.lease_end_s = max(self.lease_end_s, expires_ms / MS_PER_S)
-        if answer_s > LONGEST_WAIT_S + HOLD_MARGIN_S:
-            await self._give_up_after(LONGEST_WAIT_S + HOLD_MARGIN_S)
-        await trio.sleep(answer_s)
-        self._note_lapse()
+        if reply_s > LONGEST_WAIT_S + HOLD_MARGIN_S:
+            await self._time_out_after(LONGEST_WAIT_S + HOLD_MARGIN_S)
+        await trio.sleep(reply_s)
+        self._update_lapsed()
         active = ActiveRun(self.order.key, self.order.run_id, '', 50, 0)
         clock_ms = int(trio.current_time() * MS_PER_S)
         return TargetReport(clock_ms, 1, () if self.lapsed else (active,), ())
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing: there are no connections."""
 
-    async def _give_up_after(self, timeout_s: float) -> None:
+    async def _time_out_after(self, timeout_s: float) -> None:
         await trio.sleep(timeout_s)
-        raise TargetSilentError('no answer')
+        raise TargetSilentError('no reply')
 
-    def _note_lapse(self) -> None:
+    def _update_lapsed(self) -> None:
         self.lapsed = self.lapsed or trio.current_time() > self.lease_end_s
 
 
@@ -77,7 +81,11 @@
 async def test_run_stays(
     autojump_clock: trio.testing.MockClock, delay_s: float, silent_s: tuple[float, float]
 ) -> None:
-    """Guards against work that is done twice, or lost, because its target answers late."""
+    """Keeps a run on its target while replies are late or missing for less than its lease.
+
+    If the lease were not extended in time, the target would end the run; if the run were given up
+    too early, it would be started a second time elsewhere.
+    """
     rig = BoardRig(targets=1)
     rig.add_job()
     target: Any = SlowTarget(rig, delay_s, silent_s)
@@ -91,7 +99,10 @@
 
 
 async def test_restart_only_after_lapse(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a second run beside the first on a target that has fallen silent for good."""
+    """Gives up the run of a target that stays silent only after its lease has ended.
+
+    Before that the target may still execute it, and a second run would execute the task twice.
+    """
     rig = BoardRig(targets=1)
     rig.add_job()
     target: Any = SlowTarget(rig, 0.01, (5, 1_000))
--- a/tests/helpers/fault_fleet.py
+++ b/tests/helpers/fault_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in which every executor is a process of its own, so that each can fail alone."""
+"""A fleet that runs every executor in its own process, so that each can fail independently."""
 
 import json
 import uuid
@@ -15,7 +15,7 @@
 
 
 def make_fault_plan(entries_count: int = 1, **changes: Any) -> FleetPlan:
-    """Return a plan with pools of 1, 2 and 4 executors, each with a queue of the pool's name."""
+    """Return a plan with pools of 1, 2 and 4 executors, each with a queue of the same name."""
     pools = {name: {'max_run_s': 8, 'minimum_available_ratio': 0} for name in EXECUTORS}
     bundle = {
         'teams': {
@@ -35,12 +35,12 @@
 
 
 class FaultFleet(Fleet):
-    """Adds calls that count the runs of a request."""
+    """Adds requests to the queues of the plan, counts of their runs and faults of whole pools."""
 
     def call(
         self, queue: str, method: str = 'GET', query: str = '', entry: int = 0, **headers: str
     ) -> CallerReply:
-        """Send one request of the team to a queue."""
+        """Send one request to a queue with the team's key; underscores in header names mean hyphens."""
         names = {name.replace('_', '-'): text for name, text in headers.items()}
         names.setdefault('x-request-id', uuid.uuid4().hex)
         path = f'/queues/{queue}/work?{query}'
@@ -49,16 +49,16 @@
         )
 
     def count_runs(self, pool: str, request_id: str) -> int:
-        """Return how often executors of the pool that answer have run the request."""
+        """Return how often the executors of the pool have run the request."""
         logs = [self.read_run_log(index) for index in self.list_vms(pool)]
         return sum(log['runs'].get(request_id, 0) for log in logs)
 
     def count_running(self, pool: str) -> int:
-        """Return how many requests of the team run in the pool now."""
+        """Return how many requests of the team are running in the pool."""
         return sum(self.read_run_log(vm)['running'].get(TEAM, 0) for vm in self.list_vms(pool))
 
     def list_vms(self, pool: str) -> range:
-        """Return the indexes of the pool's executors, which are also those of the processes."""
+        """Return the indexes of the pool's VMs, which are also those of their executor processes."""
         return range(FIRST_VM[pool], FIRST_VM[pool] + EXECUTORS[pool])
 
     def set_pool_faults(self, pool: str, **faults: object) -> None:
@@ -68,5 +68,5 @@
 
 
 def read_problem(reply: CallerReply) -> str:
-    """Return the reason of a refusal."""
+    """Return the reason of a refusal: the last part of its problem type."""
     return str(json.loads(reply.body)['type']).rpartition(':')[2]
--- a/tests/helpers/trio_clock.py
+++ b/tests/helpers/trio_clock.py
@@ -1,4 +1,4 @@
-"""A clock that follows trio's clock, so that an autojump clock moves it."""
+"""A clock that reads trio's time, so that trio's autojump clock controls it in tests."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -6,10 +6,10 @@
 
 
 class TrioClock:
-    """Reads trio's current time."""
+    """Derives both times from trio's current time."""
 
     def read_utc(self) -> datetime:
-        """Return a wall time that moves with the monotonic time."""
+        """Return a wall-clock time that advances with the monotonic time."""
         return datetime(2026, 1, 1, tzinfo=UTC) + timedelta(seconds=trio.current_time())
 
     def read_monotonic_s(self) -> float:
--- a/tests/platform/test_codecs.py
+++ b/tests/platform/test_codecs.py
@@ -1,4 +1,4 @@
-"""The adapter: what the users' platform writes, valid or not."""
+"""Decoding of the platform's formats: settings files, rules, registrations and waves."""
 
 import json
 import logging
@@ -41,7 +41,10 @@
 
 
 def test_settings() -> None:
-    """Guards against a node that refuses to start because the file has new fields."""
+    """Decodes the settings and ignores unknown keys.
+
+    If an unknown key were an error, nodes would not start once the platform adds one to the file.
+    """
     settings = decode_node_settings(SETTINGS, 'node.toml')
     assert settings.caller_address == Address('10.1.0.1', 8340)
     assert settings.timings.lease_limit_s == 6
@@ -50,14 +53,18 @@
 
 @pytest.mark.parametrize('missing', ['node_name', 'listen_addrs', 'platform'])
 def test_settings_without_field(missing: str) -> None:
-    """Guards against an error that does not name the field that is missing."""
+    """Names the missing field in the error; without it, an operator can't tell what to correct."""
     document = {name: field for name, field in SETTINGS.items() if name != missing}
     with pytest.raises(SettingsError, match=missing):
         decode_node_settings(document, 'node.toml')
 
 
 def test_rules() -> None:
-    """Guards against rules that lose a key, a ceiling or the longest prefix."""
+    """Decodes all keys, ceilings and pools, and finds the queue with the longest prefix.
+
+    A lost key locks a team out, a lost ceiling lets it take a whole pool, and a shorter prefix
+    sends its jobs to another queue.
+    """
     rules = decode_rules(json.dumps(CONFIG).encode())
     assert rules is not None
     queue = rules.find_queue('h', '/a/b/0123')
@@ -71,13 +78,20 @@
 
 @pytest.mark.parametrize('content', [b'', b'{', b'[]', b'{"routes":[]}', b'\xff\xfe'])
 def test_unreadable_rules(content: bytes, caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against a node that ends, or takes empty rules, when a configuration is unreadable."""
+    """Ignores and logs an unreadable configuration.
+
+    A node that failed on it, or applied empty rules, would refuse all callers.
+    """
     assert decode_rules(content) is None
     assert "can't be read" in caplog.text
 
 
 def test_target() -> None:
-    """Guards against a target of which the state, rack or life is read wrongly."""
+    """Decodes the state, labels, capacity and incarnation of a target.
+
+    A draining target taken for a ready one would get tasks, and an incarnation that is read wrongly
+    would hide a restart.
+    """
     target = decode_target('i-1', json.dumps(TARGET).encode())
     assert target is not None
     assert target.draining
@@ -90,14 +104,21 @@
     [{'state': 'asleep'}, {'address': 'nowhere'}, {'capacity': 'much'}, {'service': None}],
 )
 def test_foreign_entries(change: dict[str, object], caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against use of entries that another writer left."""
+    """Ignores a registration that is invalid, and logs the id of its target.
+
+    Other programs write to the same table, and their rows may not be registrations.
+    """
     caplog.set_level(logging.INFO)
     assert decode_target('i-1', json.dumps({**TARGET, **change}).encode()) is None
     assert 'i-1' in caplog.text
 
 
 def test_waves() -> None:
-    """Guards against a wave with another limit, and a state that the operator can't read."""
+    """Decodes a wave with all its fields, ignores an invalid one and encodes both states.
+
+    A wave with another limit would take down too many VMs at once, and with another word for its
+    state the operator could not tell whether it is complete.
+    """
     wave = decode_wave(b'{"rollout_wave":1,"machines":["m"],"duration_s":20,"cap":2}')
     assert wave is not None
     assert (wave.wave, wave.vms, wave.limit, wave.duration_s) == (1, ('m',), 2, 20)
--- a/tests/test_job_limits.py
+++ b/tests/test_job_limits.py
@@ -1,6 +1,6 @@
-"""Jobs that ask for more than one job may hold: one caller must not be able to stop the fleet.
+"""Jobs beyond the limits of one job are refused with an error that names the field.
 
-Pattern: admission limits at the border, with a reason that names the field.
+Without the limits, a single caller could exhaust the memory or time of every holder in turn.
 """
 
 import json
@@ -22,7 +22,7 @@
 
 
 def decode(document: object) -> None:
-    """Decode a request, as the callers' side does, and encode its row."""
+    """Decode a request as JobApp does, and encode the row of its job."""
     body = json.dumps(document).encode()
     encode_job(decode_job_request(body, JOB_ID, TEAM, QUEUE, 1, ROW_LIMIT_BYTES))
 
@@ -49,7 +49,10 @@
     ],
 )
 def test_refused_with_field(field: str, document: object) -> None:
-    """Guards against a job of a few bytes that fills the memory of each holder in turn."""
+    """Refuses a job beyond a limit and names the field.
+
+    A request of a few bytes can describe so many tasks that they fill the memory of each holder.
+    """
     with pytest.raises(JobRequestError, match=field):
         decode(document)
 
@@ -64,7 +67,7 @@
     ],
 )
 def test_usual_jobs(document: object) -> None:
-    """Guards against limits that refuse what the users hand in."""
+    """Accepts jobs of the sizes that users submit; limits set too low would refuse them."""
     decode(document)
 
 
@@ -72,7 +75,10 @@
     'fields', [{'occurrence_count': 1_000_000_000}, {'steps': (STEP,) * 2_000}]
 )
 def test_stored_beyond_limit(fields: dict[str, object]) -> None:
-    """Guards against a row stored before the limits, which ends each holder that reads it."""
+    """Refuses to decode a stored job beyond the limits, and uses little memory for it.
+
+    A row that was stored before the limits existed would end each holder that reads it.
+    """
     row = encode_job(make_job(**fields))
     tracemalloc.start()
     try:
@@ -84,7 +90,7 @@
 
 
 def test_largest_job_is_planned() -> None:
-    """Guards against a limit that still lets one job hold up the holder's loop."""
+    """Plans a job at the limit; one that took too long would block the holder's event loop."""
     rig = BoardRig()
     rig.add_job(make_job(occurrence_count=5_000, interval_ms=1, first_due_ms=1))
     assert rig.plan()
@@ -107,7 +113,10 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(JSON)
 def test_any_json(document: object) -> None:
-    """Guards against an error that callers don't get an answer for."""
+    """Decodes any JSON document or raises JobRequestError.
+
+    Another error would end the call without a reply that names the cause.
+    """
     try:
         decode(document)
     except JobRequestError:
@@ -117,7 +126,10 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
 def test_any_bytes(body: bytes) -> None:
-    """Guards against an error that callers don't get an answer for."""
+    """Decodes any request body or raises JobRequestError.
+
+    Another error would end the call without a reply that names the cause.
+    """
     try:
         decode_job_request(body, JOB_ID, TEAM, QUEUE, 1, ROW_LIMIT_BYTES)
     except JobRequestError:
@@ -127,7 +139,10 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
 def test_any_row(row: bytes) -> None:
-    """Guards against an error of another type than the one that the holder handles."""
+    """Decodes any stored row or raises RowFormatError.
+
+    The holder handles only this error; another one would end it.
+    """
     try:
         decode_intake_row(b'\x97\x01' + row)
     except RowFormatError:
--- a/tests/test_job_owner.py
+++ b/tests/test_job_owner.py
@@ -1,4 +1,4 @@
-"""Jobs of one team are out of reach of all others, through any queue."""
+"""Callers of one team can't see or cancel the jobs of another team through any queue."""
 
 from dataclasses import replace
 
@@ -29,12 +29,12 @@
     ],
 )
 def test_admits(owner: JobOwner, team: str, queue: Queue, admitted: bool) -> None:
-    """Guards the rule of who may see and cancel a job."""
+    """Allows access by team and by the name or address of the queue, as JobOwner documents."""
     assert owner.allows_access(team, queue) is admitted
 
 
 def add_offices(fleet: JobFleet) -> None:
-    """Add a second team and a second queue to the rules."""
+    """Add a second team and a second queue to the configuration."""
     config = make_config(2)
     (route,) = config['routes']  # type: ignore[misc]
     (tenant,) = config['tenants']  # type: ignore[misc]
@@ -44,9 +44,9 @@
 
 
 async def test_other_team() -> None:
-    """Guards against a caller of another team that reads or cancels a job, or learns of it.
+    """Replies to a caller of another team as if the job did not exist, and refuses its id with 409.
 
-    On the code before, the id alone decided: both calls were answered with 200.
+    When the id alone decided on access, such a caller could read and cancel the job.
     """
     async with run_job_fleet(node_count=2, target_count=1) as fleet:
         assert (await fleet.call(0, 'POST', JOB, BODY)).status == 200
--- a/tests/test_jobs_command.py
+++ b/tests/test_jobs_command.py
@@ -1,4 +1,4 @@
-"""`comfreywind jobs` against the stand-ins."""
+"""The command `comfreywind jobs` against the stand-ins of the platform."""
 
 import base64
 
@@ -18,12 +18,15 @@
 
 
 async def run_jobs(*args: str) -> ProgramResult:
-    """Run the command in a thread, because it has an event loop of its own."""
+    """Run the command in a thread, because it starts its own event loop."""
     return await trio.to_thread.run_sync(lambda: run_program('jobs', *args))
 
 
 async def test_show_job() -> None:
-    """Guards against an operator who can't see why a job has not ended."""
+    """Shows the progress of a job and what it waits for, and which node is the holder.
+
+    Without them, an operator can't tell why a job has not ended.
+    """
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         store = str(fleet.store_address)
         await fleet.submit(0, JOB, 'work_s=1')
@@ -47,14 +50,14 @@
     ],
 )
 async def test_errors(args: tuple[str, ...], status: ExitStatus, message: str) -> None:
-    """Guards against errors that don't say which argument is wrong or what can't be reached."""
+    """Names the wrong argument or the call that failed, and sets the exit status accordingly."""
     shown = await run_jobs(*args)
     assert shown.exit_status is status
     assert message in shown.stderr
 
 
 async def test_missing_job() -> None:
-    """Guards against an empty report of a job that does not exist."""
+    """Fails for a job that does not exist; an empty report would look like a job without tasks."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         shown = await run_jobs('show', JOB, '--store', str(fleet.store_address))
         assert shown.exit_status is ExitStatus.REFUSED
@@ -62,7 +65,7 @@
 
 
 async def test_fleet_tables() -> None:
-    """Guards against an operator who can't see what waits, where it runs and what is due."""
+    """Lists the jobs of a queue, the pools, the teams and the maintenance waves."""
     async with run_job_fleet(node_count=1, target_count=2) as fleet:
         store = str(fleet.store_address)
         wave = {'rollout_wave': 4, 'machines': ['m-1', 'm-2'], 'cap': 1, 'duration_s': 30}
@@ -80,7 +83,7 @@
 
 
 async def test_ended_jobs_are_not_listed() -> None:
-    """Guards against a list that grows with all jobs that ever ran."""
+    """Leaves ended jobs out of the list, which would otherwise grow with all jobs that ever ran."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         store = str(fleet.store_address)
         await fleet.submit(0, JOB)
@@ -92,7 +95,10 @@
 
 
 async def test_job_that_is_being_removed() -> None:
-    """Guards against commands that fail while a tombstone stands for one of the jobs."""
+    """Shows the owner and final state of a job of which only the tombstone is left.
+
+    A command that expected a job in each intake row would fail while any job is being removed.
+    """
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         store = str(fleet.store_address)
         owner = JobOwner('crews', 'rebuild', QUEUE_HOST, PREFIX)
--- a/tests/test_jobs_whole_path.py
+++ b/tests/test_jobs_whole_path.py
@@ -1,4 +1,4 @@
-"""Jobs from the caller to the targets and back, over real sockets, with nodes in this process."""
+"""Jobs from submission to completion over real sockets; nodes and stand-ins run in this process."""
 
 import pytest
 import trio
@@ -10,7 +10,7 @@
 
 
 async def test_job_completes() -> None:
-    """Guards against jobs that are accepted and never run, or shown as complete too early."""
+    """Runs each task of a job once and reports the job as complete, though it is submitted twice."""
     async with run_job_fleet() as fleet:
         assert await fleet.submit(0, JOB, 'work_s=0.2') == 200
         assert await fleet.submit(1, JOB, 'work_s=0.2') == 200
@@ -30,7 +30,7 @@
     ],
 )
 async def test_refusals(method: str, path: str, key: str, status: int) -> None:
-    """Guards against calls that are served without a key, and refusals of the wrong kind."""
+    """Refuses unknown keys, unknown jobs, malformed ids and other methods, each with its status."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         extra = {'key': key} if key else {}
         reply = await fleet.call(0, method, path, {'steps': [{'count': 1}]}, **extra)
@@ -48,7 +48,7 @@
     ],
 )
 async def test_invalid_jobs(steps: list[object]) -> None:
-    """Guards against jobs that can't be scheduled, such as steps that wait for each other."""
+    """Refuses jobs that could never be scheduled, such as one with steps that wait for each other."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         reply = await fleet.call(0, 'POST', JOB, {'spec': '', 'steps': steps})
         assert reply.status == 400
@@ -57,7 +57,7 @@
 
 
 async def test_withdrawn_key() -> None:
-    """Guards against a key that still works after it was withdrawn."""
+    """Refuses a key within 2 s of its withdrawal."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         fleet.store.write_document('op', 'config', make_config(2, keys=()))
         with trio.fail_after(2):
@@ -66,7 +66,7 @@
 
 
 async def test_cancelled_job_stops() -> None:
-    """Guards against tasks that work on after the cancelling of their job was acknowledged."""
+    """Stops the tasks of a job within 3 s of the reply that acknowledged its cancellation."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         await fleet.submit(0, JOB, 'last')
         with trio.fail_after(5):
@@ -80,7 +80,11 @@
 
 
 async def test_holder_killed() -> None:
-    """Guards against tasks that run twice or never after the node that scheduled them is killed."""
+    """Completes a job whose holder was killed without starting any task again.
+
+    The next holder takes over the runs from the reports of the targets. If it missed one, the task
+    would run twice; if it waited for an end that it never learns of, the job would not complete.
+    """
     async with run_job_fleet(node_count=2) as fleet:
         await fleet.submit(0, JOB, 'work_s=4', count=4)
         with trio.fail_after(5):
@@ -95,7 +99,7 @@
 
 
 async def test_lost_reply_of_accept() -> None:
-    """Guards against a job refused although its row was written, and against a second job."""
+    """Accepts a job whose row was written but the reply of the store was lost, and runs it once."""
     async with run_job_fleet(node_count=1) as fleet:
         fleet.store.faults.lost_replies = 1
         assert await fleet.submit(0, JOB) == 200
@@ -104,7 +108,10 @@
 
 
 async def test_store_refuses() -> None:
-    """Guards against work accepted, or held until its deadline, while the store refuses calls."""
+    """Replies 503 at once while the store refuses calls, and accepts the job afterwards.
+
+    Holding the call until its deadline would leave the caller without time to try again.
+    """
     async with run_job_fleet(node_count=1) as fleet:
         fleet.store.faults.refusing = True
         with trio.fail_after(1):
@@ -117,7 +124,10 @@
 
 
 async def test_history_dropped() -> None:
-    """Guards against a configuration that is missed when the store drops its history."""
+    """Applies a new configuration although the store has dropped its history.
+
+    The feed can't return the change then; the node has to read the whole table again.
+    """
     async with run_job_fleet(node_count=1) as fleet:
         fleet.store.store.oldest_history = fleet.store.store.version + 100
         fleet.store.write_document('op', 'config', make_config(2, keys=('new-key',)))
@@ -128,7 +138,7 @@
 
 
 async def test_start_without_answer() -> None:
-    """Guards against a task that runs twice because the answer to its start was lost."""
+    """Runs a task once although the reply to its start order was lost."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         fleet.targets[0].unanswered_starts = 1
         await fleet.submit(0, JOB, 'work_s=2', count=1)
@@ -137,7 +147,7 @@
 
 
 async def test_failing_job() -> None:
-    """Guards against a job that is tried for ever, or given up before its last attempt."""
+    """Starts a failing task as often as the queue's attempt limit allows, then fails the job."""
     async with run_job_fleet(node_count=1) as fleet:
         await fleet.submit(0, JOB, 'fail', count=1)
         await fleet.wait_for_state(0, JOB, 'failed')
@@ -145,10 +155,10 @@
 
 
 async def test_burst_with_slow_store() -> None:
-    """Guards against jobs that are refused because all of them wait in a few parts of the store.
+    """Accepts a burst of jobs while the store is slow, because jobs are spread over partitions.
 
-    Seen on dewpa-sched-grown trouble-2: with a store 100 times slower 45 of 250 jobs were refused
-    and others held until their deadline, since four parts took two transactions a second each.
+    With only four partitions, and a store 100 times slower that ran two transactions/s in each,
+    45 of 250 jobs were refused in dewpa-sched-grown trouble-2 and others held until their deadline.
     """
     async with run_job_fleet(node_count=2, target_count=1) as fleet:
         fleet.store.faults.transaction_s = 0.25
