--- a/comfreywind/platform/advice_client.py
+++ b/comfreywind/platform/advice_client.py
@@ -18,7 +18,7 @@
         """Prepare a client with a single connection to the address."""
         self._client = HttpClient(address, CALL_TIMEOUT_S, 1)
 
-    async def ask(self, step_id: str, target_ids: list[str]) -> dict[str, str]:
+    async def request_tickets(self, step_id: str, target_ids: list[str]) -> dict[str, str]:
         """Return a ticket for each of the targets that may run the step, by target id.
 
         Raises StoreUnavailableError without a reply or with a status other than 200.
--- a/comfreywind/scheduling/advice_keeper.py
+++ b/comfreywind/scheduling/advice_keeper.py
@@ -37,7 +37,9 @@
                 continue
             asked_s = self._clock.read_monotonic_s()
             try:
-                tickets = await self._client.ask(question.step_id, list(question.target_ids))
+                tickets = await self._client.request_tickets(
+                    question.step_id, list(question.target_ids)
+                )
             except StoreUnavailableError as error:
                 log.info('%s', error)
                 await trio.sleep(RETRY_S)
