--- a/comfreywind/platform/wave_codec.py
+++ b/comfreywind/platform/wave_codec.py
@@ -1,11 +1,11 @@
-"""Waves of upkeep: what the operator asks for and what it is told."""
+"""Decodes the maintenance waves that the operator requests, and encodes their state for it."""
 
 import json
 import logging
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from comfreywind.jobs.upkeep_wave import UpkeepWave
+from comfreywind.jobs.maintenance_wave import MaintenanceWave
 
 log = logging.getLogger('comfreywind.upkeep')
 
@@ -19,16 +19,16 @@
     cap: int = 1
 
 
-def decode_wave(payload: bytes) -> UpkeepWave | None:
-    """Return the wave, or None with a log line when it can't be read."""
+def decode_wave(payload: bytes) -> MaintenanceWave | None:
+    """Return the wave, or None, and log a warning, when the row is invalid."""
     try:
         wave = _Wave.model_validate_json(payload)
     except ValidationError as error:
-        log.warning("wave can't be read and is ignored: %s", error.errors()[:2])
+        log.warning("maintenance wave can't be read and is ignored: %s", error.errors()[:2])
         return None
-    return UpkeepWave(wave.rollout_wave, tuple(wave.machines), wave.cap, wave.duration_s)
+    return MaintenanceWave(wave.rollout_wave, tuple(wave.machines), wave.cap, wave.duration_s)
 
 
 def encode_wave_state(complete: bool) -> bytes:
-    """Return the row that tells the operator how far a wave is."""
+    """Return the value of the row that shows the operator whether a wave is complete."""
     return json.dumps({'state': 'complete' if complete else 'in_progress'}).encode()
--- a/comfreywind/scheduling/board.py
+++ b/comfreywind/scheduling/board.py
@@ -117,20 +117,20 @@
         """Take in a target's registration; a new life under the same id has no runs."""
         record = self.targets.get(entry.target_id)
         if record is None:
-            record = TargetRecord(entry, born_ms=entry.born_ms)
+            record = TargetRecord(entry, incarnation_start_ms=entry.incarnation_start_ms)
             self.targets[entry.target_id] = record
             return record
-        if entry.born_ms > record.born_ms:
-            self.restart_target(record, entry.born_ms, now_s)
+        if entry.incarnation_start_ms > record.incarnation_start_ms:
+            self.restart_target(record, entry.incarnation_start_ms, now_s)
         record.entry = entry
         return record
 
     # What targets tell
 
-    def restart_target(self, record: TargetRecord, born_ms: int, now_s: float) -> None:
+    def restart_target(self, record: TargetRecord, incarnation_start_ms: int, now_s: float) -> None:
         """Note that the target has a new life, which knows nothing of the runs before."""
         log.info('target %s: new life, %d runs lost', record.entry.target_id, len(record.runs))
-        record.born_ms = born_ms
+        record.incarnation_start_ms = incarnation_start_ms
         record.applied_number = 0
         record.stored_number = 0
         record.acknowledged_number = 0
@@ -148,8 +148,8 @@
         self, record: TargetRecord, report: TargetReport, asked_s: float, now_s: float
     ) -> list[Order]:
         """Take in the lists of a target that were asked for at `asked_s`."""
-        if report.born_ms > record.born_ms:
-            self.restart_target(record, report.born_ms, now_s)
+        if report.incarnation_start_ms > record.incarnation_start_ms:
+            self.restart_target(record, report.incarnation_start_ms, now_s)
         record.reported = True
         record.silent = False
         for ended in report.ended:
@@ -335,7 +335,7 @@
 
     def _is_lasting(self, key: TaskKey) -> bool:
         record = self.jobs.get(key.job_id)
-        return record is not None and record.open and record.job.steps[key.step].lasting
+        return record is not None and record.open and record.job.steps[key.step].long_running
 
     def _read_step_health(self, job_id: str, occurrence: int, number: int) -> StepHealth:
         record = self.jobs[job_id]
@@ -384,8 +384,8 @@
     def _note_outcome(
         self, record: JobRecord, target: TargetRecord, ended: EndedRun, now_s: float
     ) -> None:
-        lasting = record.job.steps[ended.key.step].lasting
-        if ended.outcome is RunOutcome.DONE and not lasting:
+        long_running = record.job.steps[ended.key.step].long_running
+        if ended.outcome is RunOutcome.DONE and not long_running:
             target.failure_streak = 0
             for key in record.list_represented(ended.key):
                 if record.note_done(key):
@@ -425,7 +425,7 @@
             target.entry.target_id,
             len(failed_runs),
         )
-        if record.job.steps[key.step].lasting:
+        if record.job.steps[key.step].long_running:
             return
         record.progress.failures[task] = failed_runs
         if len(failed_runs) >= record.job.queue.attempt_limit and record.open:
@@ -463,11 +463,13 @@
     def _pace_fillers(self, target: TargetRecord) -> list[Order]:
         """Return the orders that keep fillers from harming the tasks that serve beside them."""
         ratios = [
-            run.level / run.tail_limit_ms for run in target.runs.values() if run.tail_limit_ms
+            run.metric_value / run.tail_latency_limit_ms
+            for run in target.runs.values()
+            if run.tail_latency_limit_ms
         ]
         orders: list[Order] = []
         for run in target.runs.values():
-            if not run.filler or run.state is not RunState.RUNNING:
+            if not run.best_effort or run.state is not RunState.RUNNING:
                 continue
             percent = choose_pace(run.pace_percent, max(ratios, default=0))
             if percent != run.pace_percent:
@@ -536,10 +538,10 @@
     if run is None or run.run_id != active.run_id:
         return
     run.checkpoint = active.checkpoint or run.checkpoint
-    run.at_work = active.at_work_percent >= 100 and not run.ending
-    run.level = active.level
-    if active.at_work_percent > run.percent or not run.progressed_s:
-        run.percent = active.at_work_percent
+    run.at_work = active.progress_percent >= 100 and not run.ending
+    run.metric_value = active.metric_value
+    if active.progress_percent > run.percent or not run.progressed_s:
+        run.percent = active.progress_percent
         run.progressed_s = now_s
 
 
@@ -562,7 +564,7 @@
         RunState.RUNNING,
         now_s,
         now_s,
-        tail_limit_ms=step.tail_limit_ms,
-        filler=step.filler,
-        lasting=step.lasting,
+        tail_latency_limit_ms=step.tail_latency_limit_ms,
+        best_effort=step.best_effort,
+        long_running=step.long_running,
     )
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -10,19 +10,19 @@
 from comfreywind.decisions.scheduling.pool_size import USUAL_POLICY
 from comfreywind.errors import StoreUnavailableError
 from comfreywind.jobs.ended_job import EndedJob
-from comfreywind.jobs.job_codec import decode_accepted, decode_progress
+from comfreywind.jobs.job_codec import decode_intake_row, decode_progress
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
     CANCEL_SUFFIX,
-    INTAKE_PARTS,
-    PROGRESS_PARTS,
+    INTAKE_PARTITIONS,
+    PROGRESS_PARTITIONS,
     TABLE_INTAKE,
     TABLE_PROGRESS,
 )
 from comfreywind.metrics import Metrics
 from comfreywind.platform.advice_client import AdviceClient
-from comfreywind.platform.concurrent_calls import run_together
+from comfreywind.platform.concurrent_calls import run_concurrently
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import StoredRow
 from comfreywind.platform.target_client import TargetClient
@@ -112,7 +112,7 @@
         intake = RowFeed(
             self._rows,
             TABLE_INTAKE,
-            (*INTAKE_PARTS, *PROGRESS_PARTS),
+            (*INTAKE_PARTITIONS, *PROGRESS_PARTITIONS),
             self._take_intake,
             self._clock,
             after=self._progress_loaded,
@@ -191,10 +191,10 @@
                 return
 
     async def _read_state(self) -> None:
-        await run_together((self._read_progress, self._roster.load, self._turns.load))
+        await run_concurrently((self._read_progress, self._roster.load, self._turns.load))
 
     async def _read_progress(self) -> None:
-        for page in await self._rows.read_parts(TABLE_PROGRESS, PROGRESS_PARTS):
+        for page in await self._rows.read_partitions(TABLE_PROGRESS, PROGRESS_PARTITIONS):
             for row in page.rows:
                 self._note_old_progress(row)
 
@@ -273,7 +273,7 @@
             self._wake.set()
             return
         try:
-            accepted = decode_accepted(row.payload)
+            accepted = decode_intake_row(row.payload)
         except RowFormatError as error:
             log.warning('job %s is not read: %s', row.key, error)
             return
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -9,15 +9,15 @@
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.http.client import Permit
 from comfreywind.jobs.ended_job import EndedJob
-from comfreywind.jobs.job_codec import decode_accepted, encode_tombstone
-from comfreywind.jobs.job_owner import find_owner
+from comfreywind.jobs.job_codec import decode_intake_row, encode_tombstone
+from comfreywind.jobs.job_owner import get_owner
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
     CANCEL_SUFFIX,
     TABLE_INTAKE,
     TABLE_PROGRESS,
-    find_intake_part,
-    find_progress_part,
+    compute_intake_partition,
+    compute_progress_partition,
 )
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
@@ -89,11 +89,15 @@
 
     async def sweep(self) -> None:
         """Remove the jobs that are due; raise StoreUnavailableError when the store gives no answer."""
-        await self._commit_all(self._list_due(), find_intake_part, self._replace)
+        await self._commit_all(self._list_due(), compute_intake_partition, self._replace)
         uncleared = [each for each in self._removals.values() if not each.cleared]
-        await self._commit_all([each.job_id for each in uncleared], find_progress_part, self._clear)
+        await self._commit_all(
+            [each.job_id for each in uncleared], compute_progress_partition, self._clear
+        )
         cleared = [each for each in self._removals.values() if each.cleared]
-        await self._commit_all([each.job_id for each in cleared], find_intake_part, self._remove)
+        await self._commit_all(
+            [each.job_id for each in cleared], compute_intake_partition, self._remove
+        )
         if cleared:
             log.info('%d ended jobs removed', len(cleared))
 
@@ -132,7 +136,7 @@
         jobs = self._board.jobs
         records = [jobs[each] for each in job_ids if each in jobs and each in self._versions]
         for record in records:
-            ended = EndedJob(find_owner(record.job), record.progress.state)
+            ended = EndedJob(get_owner(record.job), record.progress.state)
             job_id = record.job.job_id
             version = self._versions[job_id]
             changes.append(RowChange(TABLE_INTAKE, job_id, encode_tombstone(ended), version))
@@ -179,7 +183,9 @@
         removal = self._removals.get(row.key)
         if removal is None or removal.progress_version == row.version:
             return
-        tombstone = await self._rows.read_row(TABLE_INTAKE, find_intake_part(row.key), row.key)
+        tombstone = await self._rows.read_row(
+            TABLE_INTAKE, compute_intake_partition(row.key), row.key
+        )
         if tombstone.version == removal.version:
             removal.progress_version = 0 if row.payload is None else row.version
         else:
@@ -217,7 +223,7 @@
 
 def _is_tombstone(payload: bytes) -> bool:
     try:
-        return isinstance(decode_accepted(payload), EndedJob)
+        return isinstance(decode_intake_row(payload), EndedJob)
     except RowFormatError as error:
         log.warning('a row that is being removed is left: %s', error)
         return False
--- a/comfreywind/scheduling/order_turns.py
+++ b/comfreywind/scheduling/order_turns.py
@@ -8,8 +8,8 @@
 
 from comfreywind.clock import Clock
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
-from comfreywind.jobs.row_format import RowFormatError, reading_row
-from comfreywind.jobs.tables import HOLDER_PART, ORDERS_KEY, TABLE_TERM
+from comfreywind.jobs.row_format import RowFormatError, wrap_row_errors
+from comfreywind.jobs.tables import HOLDER_PARTITION, ORDER_RESERVATIONS_KEY, TABLE_TERM
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.term_keeper import HeldTerm
@@ -55,7 +55,7 @@
 
     async def load(self) -> None:
         """Read what earlier holders ordered; raise StoreUnavailableError without an answer."""
-        row = await self._rows.read_row(TABLE_TERM, HOLDER_PART, ORDERS_KEY)
+        row = await self._rows.read_row(TABLE_TERM, HOLDER_PARTITION, ORDER_RESERVATIONS_KEY)
         self._version = row.version
         self._earlier_ms = self._read_row(row)
 
@@ -79,9 +79,11 @@
         window_s = SEND_WINDOW_S + STORE_CALLS_PER_WINDOW * self._store_call_s
         until_ms = self._find_store_ms(now_s + window_s)
         wanted = self._list_recent() | dict.fromkeys(vms, until_ms)
-        change = RowChange(TABLE_TERM, ORDERS_KEY, encode_ordered_vms(wanted), self._version)
+        change = RowChange(
+            TABLE_TERM, ORDER_RESERVATIONS_KEY, encode_ordered_vms(wanted), self._version
+        )
         try:
-            self._version = await self._rows.commit(HOLDER_PART, [change])
+            self._version = await self._rows.commit(HOLDER_PARTITION, [change])
         except RowsChangedError as error:
             # A commit of ours without an answer, as the term's row keeps other holders away.
             for row in error.rows:
@@ -104,14 +106,14 @@
     def _find_store_ms(self, at_s: float) -> float:
         """Return an upper bound of the store's clock at the moment."""
         store_time = self._rows.store_time
-        return TIME_UNKNOWN_MS if store_time is None else store_time.find_latest_ms(at_s)
+        return TIME_UNKNOWN_MS if store_time is None else store_time.compute_latest_ms(at_s)
 
     def _is_past(self, until_ms: float, margin_s: float = 0) -> bool:
         """Return whether the turn after the moment is over."""
         store_time = self._rows.store_time
         if store_time is None:
             return False
-        now_ms = store_time.find_earliest_ms(self._clock.read_monotonic_s())
+        now_ms = store_time.compute_earliest_ms(self._clock.read_monotonic_s())
         waited_s = (now_ms - until_ms) / MS_PER_S
         return waited_s >= self._turn_s + ARRIVAL_MARGIN_S + margin_s
 
@@ -151,7 +153,7 @@
     """
     if not payload:
         return {}
-    with reading_row('row of ordered VMs'):
+    with wrap_row_errors('row of ordered VMs'):
         document = msgpack.unpackb(payload)
         if isinstance(document, list):
             return dict.fromkeys(map(str, document), TIME_UNKNOWN_MS)
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -122,7 +122,7 @@
     def _describe(self, record: JobRecord) -> JobStanding:
         queue = self._board.rules.queues.get(record.job.queue.name, record.job.queue)
         return JobStanding(
-            lasting=record.job.lasting,
+            long_running=record.job.long_running,
             excess=record.excess,
             priority=queue.priority,
             accepted_ms=max(record.job.accepted_ms, record.job.first_due_ms),
@@ -255,9 +255,9 @@
             RunState.STARTING,
             self._now_s,
             self._now_s,
-            tail_limit_ms=step.tail_limit_ms,
-            filler=step.filler,
-            lasting=step.lasting,
+            tail_latency_limit_ms=step.tail_latency_limit_ms,
+            best_effort=step.best_effort,
+            long_running=step.long_running,
         )
         self._board.add_run(run, record)
 
@@ -315,7 +315,7 @@
         target.entry.target_id,
         target.free,
         target.entry.labels,
-        serving=any(run.tail_limit_ms for run in target.runs.values()),
+        serving=any(run.tail_latency_limit_ms for run in target.runs.values()),
         due=target.due,
     )
 
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -32,7 +32,7 @@
             for record in self.waiting
             for key in record.waiting
         )
-        return len(self.targets) * running.add(waiting).find_largest_part(capacity)
+        return len(self.targets) * running.add(waiting).compute_dominant_share(capacity)
 
     def count_vms_for_lasting(self) -> int:
         """Return how many empty VMs the lasting tasks that wait would take.
@@ -42,7 +42,7 @@
         """
         vms = 0
         for record in self.waiting:
-            if not record.job.lasting:
+            if not record.job.long_running:
                 continue
             step = record.job.steps[next(iter(record.waiting)).step]
             request = find_request(step)
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -22,7 +22,7 @@
     entry: TargetEntry
     runs: dict[TaskKey, RunRecord] = field(default_factory=dict)
     used: Resources = NO_RESOURCES
-    born_ms: int = 0
+    incarnation_start_ms: int = 0
     applied_number: int = 0
     stored_number: int = 0
     acknowledged_number: int = 0
@@ -50,7 +50,7 @@
         unavailable = self.entry.draining or self.leaving or self.emptying
         unheard = self.silent or not self.reported
         # After a row of failures one task shows whether the target works again.
-        short_runs = not all(run.lasting for run in self.runs.values())
+        short_runs = not all(run.long_running for run in self.runs.values())
         probing = self.failure_streak > 1 and short_runs
         return not (unavailable or unheard or probing) and now_s >= self.barred_until_s
 
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -22,7 +22,7 @@
 )
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.jobs.row_format import RowFormatError
-from comfreywind.jobs.tables import TABLE_TERM, TERM_KEY, TERM_PART
+from comfreywind.jobs.tables import TABLE_TERM, TERM_KEY, TERM_PARTITION
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.term_row import TermRow, decode_term, encode_term
@@ -129,7 +129,7 @@
         )
         change = RowChange(TABLE_TERM, TERM_KEY, encode_term(row), self._version)
         try:
-            await self._rows.commit(TERM_PART, [change])
+            await self._rows.commit(TERM_PARTITION, [change])
         except RowsChangedError as error:
             for stored in error.rows:
                 self._observe(stored)
@@ -141,7 +141,7 @@
 
     async def _take_step(self) -> None:
         if self._held is None:
-            self._observe(await self._rows.read_row(TABLE_TERM, TERM_PART, TERM_KEY))
+            self._observe(await self._rows.read_row(TABLE_TERM, TERM_PARTITION, TERM_KEY))
         step = decide_term_step(self._describe(), self._held is not None)
         if step is TermStep.WAIT or self._stopping:
             return
@@ -160,7 +160,7 @@
     def _find_start_ms(self) -> float:
         """Return when this process started on the store's clock, or 0 when that is not known."""
         store_time = self._rows.store_time
-        return 0 if store_time is None else store_time.find_latest_ms(self._started_s)
+        return 0 if store_time is None else store_time.compute_latest_ms(self._started_s)
 
     def _describe(self) -> LeaseSighting:
         now_s = self._clock.read_monotonic_s()
@@ -168,7 +168,7 @@
         store_time = self._rows.store_time
         age_s = None
         if row.renewed_ms and store_time is not None:
-            age_s = (store_time.find_earliest_ms(now_s) - row.renewed_ms) / MS_PER_S
+            age_s = (store_time.compute_earliest_ms(now_s) - row.renewed_ms) / MS_PER_S
         return LeaseSighting(
             exists=self._version != 0,
             released=row.released,
@@ -185,7 +185,7 @@
             self._seen_row.epoch + int(step is TermStep.TAKE),
             self._seen_row.renewal + 1,
             term_s=self._next_term_s,
-            renewed_ms=0 if store_time is None else store_time.find_latest_ms(sent_s),
+            renewed_ms=0 if store_time is None else store_time.compute_latest_ms(sent_s),
             pending=self.own_pending,
             refused=self.own_refused,
             started_ms=self._find_start_ms(),
@@ -194,7 +194,7 @@
             self._bound_term(sent_s, row.term_s)
         change = RowChange(TABLE_TERM, TERM_KEY, encode_term(row), self._version)
         try:
-            version = await self._rows.commit(TERM_PART, [change])
+            version = await self._rows.commit(TERM_PARTITION, [change])
         except RowsChangedError as error:
             self._settle_conflict(error.rows)
             return
--- a/tests/compatibility/test_kept_rows.py
+++ b/tests/compatibility/test_kept_rows.py
@@ -57,7 +57,7 @@
 from comfreywind.jobs import tables as job_tables
 from comfreywind.jobs.ended_job import EndedJob
 from comfreywind.jobs.job_codec import (
-    decode_accepted,
+    decode_intake_row,
     decode_progress,
     encode_job,
     encode_progress,
@@ -102,8 +102,8 @@
 FRAME_HEADER_BYTES = 4
 RETENTION_S = 10**9
 PACKED_ROWS: dict[str, tuple[Callable[[bytes], Any], Callable[[Any], bytes]]] = {
-    'job': (decode_accepted, encode_job),
-    'tombstone': (decode_accepted, encode_tombstone),
+    'job': (decode_intake_row, encode_job),
+    'tombstone': (decode_intake_row, encode_tombstone),
     'progress': (decode_progress, encode_progress),
     'term': (decode_term, encode_term),
     'roster': (decode_roster, encode_roster),
@@ -401,7 +401,7 @@
 def test_job_of_caller(case: dict[str, Any]) -> None:
     """Guards against a field of a caller's job that changes its meaning in the row."""
     assert encode_job(make_kept_job(case)).hex() == case['hex']
-    assert decode_accepted(bytes.fromhex(case['hex'])) == make_kept_job(case)
+    assert decode_intake_row(bytes.fromhex(case['hex'])) == make_kept_job(case)
 
 
 def test_fields_of_tombstone_and_term() -> None:
@@ -419,7 +419,7 @@
         started_ms=1_767_225_500_000.25,
     )
     by_name = {case['name']: bytes.fromhex(case['hex']) for case in KEPT['packed']}
-    assert decode_accepted(by_name['tombstone']) == EndedJob(owner, JobState('complete'))
+    assert decode_intake_row(by_name['tombstone']) == EndedJob(owner, JobState('complete'))
     assert decode_term(by_name['term']) == term
 
 
@@ -628,7 +628,7 @@
     names = [list_constants(module) for module in (job_tables, table_names, wire)]
     assert [*names, UPKEEP_KEY] == KEPT['names']
     parts = [
-        [job_tables.find_intake_part(each), job_tables.find_progress_part(each)]
+        [job_tables.compute_intake_partition(each), job_tables.compute_progress_partition(each)]
         for each in ('0123456789abcdef', 'fedcba9876543210', '000000000000001f')
     ]
     assert parts == KEPT['parts']
