--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -20,7 +20,7 @@
 from comfreywind.lab.lab_policy import LabPolicy
 from comfreywind.lab.outcome import Outcome
 from comfreywind.lab.worth import note_end, note_unfinished
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.holder import GATHER_S
 from comfreywind.scheduling.orders import Order, StartOrder
 from comfreywind.scheduling.planner import Planner
--- a/comfreywind/lab/worth.py
+++ b/comfreywind/lab/worth.py
@@ -5,7 +5,7 @@
 from comfreywind.decisions.scheduling.work_order import LATE_FACTOR
 from comfreywind.lab.arrival import Arrival
 from comfreywind.lab.outcome import Outcome
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 
 # The users' sheets: a job up to three times later than its objective earns about 7 % of its worth.
 LATE_PART = 0.07
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -9,7 +9,7 @@
 from comfreywind.decisions.scheduling.surge import SurgeMemory
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.resources import Resources
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.pool_work import PoolWork, find_mean_size, group_by_pool
 
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -30,7 +30,7 @@
 from comfreywind.platform.vm_client import VmClient
 from comfreywind.platform.wire import TABLE_SERVERS
 from comfreywind.scheduling.advice_keeper import AdviceKeeper
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.job_retention import RETENTION_MARGIN_S, JobRetention
 from comfreywind.scheduling.order_turns import OrderTurns
 from comfreywind.scheduling.orders import Order
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -21,7 +21,7 @@
 )
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.removal import Removal
 
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -12,7 +12,7 @@
 from comfreywind.jobs.task_key import TaskKey
 from comfreywind.metrics import Metrics, NoMetrics
 from comfreywind.scheduling.advice import Advice, AdviceQuestion
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.orders import Order, StartOrder
 from comfreywind.scheduling.run_record import RunRecord, RunState
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -13,7 +13,7 @@
 )
 from comfreywind.jobs.pool import Pool
 from comfreywind.jobs.vm import Vm
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.demand_watch import DemandWatch
 from comfreywind.scheduling.pool_work import PoolWork, group_by_pool
 from comfreywind.scheduling.vm_order import VmOrder
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.scheduling.placement import count_slots, find_request
 from comfreywind.jobs.resources import Resources, sum_resources
 from comfreywind.jobs.vm import Vm
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.target_record import TargetRecord
 
--- a/comfreywind/scheduling/progress_journal.py
+++ b/comfreywind/scheduling/progress_journal.py
@@ -11,7 +11,7 @@
 from comfreywind.jobs.tables import TABLE_PROGRESS, find_progress_part
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.job_record import JobRecord
 
 # Ends that come within this time share a transaction of each part.
--- a/comfreywind/scheduling/vm_watch.py
+++ b/comfreywind/scheduling/vm_watch.py
@@ -9,7 +9,7 @@
 from comfreywind.errors import StoreUnavailableError
 from comfreywind.jobs.vm import Vm
 from comfreywind.platform.vm_client import VmClient
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 
 # Each reading is a call to the platform, so the list is read only while someone needs it.
 LIST_INTERVAL_S = 0.8
--- a/tests/helpers/board_rig.py
+++ b/tests/helpers/board_rig.py
@@ -13,7 +13,7 @@
 from comfreywind.jobs.target_entry import TargetEntry
 from comfreywind.jobs.task_key import TaskKey
 from comfreywind.jobs.team import Team
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.orders import Order, StartOrder, StopOrder
 from comfreywind.scheduling.planner import Planner
 from comfreywind.settings.address import Address
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -26,7 +26,7 @@
 )
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling import holder, job_retention
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import Board
 from comfreywind.scheduling.job_retention import JobRetention
 from comfreywind.settings.node import JobTimings
 from comfreywind.stand_ins.jobs.row_store import RowStore
