--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -20,7 +20,7 @@
 from comfreywind.lab.lab_policy import LabPolicy
 from comfreywind.lab.outcome import Outcome
 from comfreywind.lab.worth import note_end, note_unfinished
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.holder import GATHER_S
 from comfreywind.scheduling.orders import Order, StartOrder
 from comfreywind.scheduling.planner import Planner
@@ -42,7 +42,7 @@
         """Prepare the fleet; every VM starts in its pool, without work."""
         self._model = model
         self._arrivals = {arrival.job.job_id: arrival for arrival in arrivals}
-        self._board = Board(1)
+        self._board = SchedulerState(1)
         self._planner = Planner(self._board, policy.find_turn)
         self._sizer = None if policy.pools is None else PoolSizer(self._board, policy.pools)
         self._events: list[tuple[float, int, Act]] = []
--- a/comfreywind/lab/worth.py
+++ b/comfreywind/lab/worth.py
@@ -5,7 +5,7 @@
 from comfreywind.decisions.scheduling.work_order import LATE_FACTOR
 from comfreywind.lab.arrival import Arrival
 from comfreywind.lab.outcome import Outcome
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 
 # The users' sheets: a job up to three times later than its objective earns about 7 % of its worth.
 LATE_PART = 0.07
@@ -24,7 +24,7 @@
         _count(outcome, arrival, LATE_PART if within else 0)
 
 
-def note_unfinished(outcome: Outcome, arrivals: Iterable[Arrival], board: Board) -> None:
+def note_unfinished(outcome: Outcome, arrivals: Iterable[Arrival], board: SchedulerState) -> None:
     """Count the jobs that did not end."""
     for arrival in arrivals:
         record = board.jobs.get(arrival.job.job_id)
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -9,7 +9,7 @@
 from comfreywind.decisions.scheduling.surge import SurgeMemory
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.resources import Resources
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.pool_work import PoolWork, find_mean_size, group_by_pool
 
@@ -21,7 +21,7 @@
 class DemandWatch:
     """Follows the demand for all pools; times in seconds are on the holder's steady clock."""
 
-    def __init__(self, board: Board, policy: PoolPolicy) -> None:
+    def __init__(self, board: SchedulerState, policy: PoolPolicy) -> None:
         """Watch the jobs of the board; those that are there already belong to `recall`."""
         self._board = board
         self._policy = policy
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -30,7 +30,7 @@
 from comfreywind.platform.vm_client import VmClient
 from comfreywind.platform.wire import TABLE_SERVERS
 from comfreywind.scheduling.advice_keeper import AdviceKeeper
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.job_retention import RETENTION_MARGIN_S, JobRetention
 from comfreywind.scheduling.order_turns import OrderTurns
 from comfreywind.scheduling.orders import Order
@@ -84,7 +84,7 @@
         self._rules = rules
         self._keeper = keeper
         self._clock = clock
-        self.board = Board(term.epoch)
+        self.board = SchedulerState(term.epoch)
         self._planner = Planner(self.board, metrics=metrics)
         self.journal = ProgressJournal(rows, self.board)
         self._turns = OrderTurns(rows, term, settings.timings.order_turn_s, clock)
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -21,7 +21,7 @@
 )
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.removal import Removal
 
@@ -46,7 +46,12 @@
     """
 
     def __init__(
-        self, rows: RowsClient, board: Board, retention_s: float, clock: Clock, permit: Permit
+        self,
+        rows: RowsClient,
+        board: SchedulerState,
+        retention_s: float,
+        clock: Clock,
+        permit: Permit,
     ) -> None:
         """Use the store's client; nothing is changed unless `permit` is True at that moment."""
         self._rows = rows
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -12,7 +12,7 @@
 from comfreywind.jobs.task_key import TaskKey
 from comfreywind.metrics import Metrics, NoMetrics
 from comfreywind.scheduling.advice import Advice, AdviceQuestion
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.orders import Order, StartOrder
 from comfreywind.scheduling.run_record import RunRecord, RunState
@@ -35,7 +35,10 @@
     """Starts of the tasks that wait on a board."""
 
     def __init__(
-        self, board: Board, order_work: FindTurn = find_turn, metrics: Metrics | None = None
+        self,
+        board: SchedulerState,
+        order_work: FindTurn = find_turn,
+        metrics: Metrics | None = None,
     ) -> None:
         """Plan for this board, with jobs in the order of work that the function gives."""
         self._metrics = metrics or NoMetrics()
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -13,7 +13,7 @@
 )
 from comfreywind.jobs.pool import Pool
 from comfreywind.jobs.vm import Vm
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.demand_watch import DemandWatch
 from comfreywind.scheduling.pool_work import PoolWork, group_by_pool
 from comfreywind.scheduling.vm_order import VmOrder
@@ -36,7 +36,10 @@
     """Owns the moves that are under way; it has no sockets and no clock of its own."""
 
     def __init__(
-        self, board: Board, policy: PoolPolicy, is_open: Callable[[str], bool] = _always_open
+        self,
+        board: SchedulerState,
+        policy: PoolPolicy,
+        is_open: Callable[[str], bool] = _always_open,
     ) -> None:
         """Size the pools of the board's targets; `is_open` tells which VMs may be ordered now."""
         self._is_open = is_open
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.scheduling.placement import count_slots, find_request
 from comfreywind.jobs.resources import Resources, sum_resources
 from comfreywind.jobs.vm import Vm
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.target_record import TargetRecord
 
@@ -54,7 +54,7 @@
         return vms
 
 
-def group_by_pool(board: Board) -> dict[str, PoolWork]:
+def group_by_pool(board: SchedulerState) -> dict[str, PoolWork]:
     """Return the work of every pool that has targets or waiting jobs, in one pass over the board."""
     works: dict[str, PoolWork] = {}
     for target in board.targets.values():
--- a/comfreywind/scheduling/progress_journal.py
+++ b/comfreywind/scheduling/progress_journal.py
@@ -11,7 +11,7 @@
 from comfreywind.jobs.tables import TABLE_PROGRESS, find_progress_part
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.job_record import JobRecord
 
 # Ends that come within this time share a transaction of each part.
@@ -26,7 +26,7 @@
 class ProgressJournal:
     """Stores what the board marks as changed."""
 
-    def __init__(self, rows: RowsClient, board: Board) -> None:
+    def __init__(self, rows: RowsClient, board: SchedulerState) -> None:
         """Use the store's client and the board of the term."""
         self._rows = rows
         self._board = board
--- a/comfreywind/scheduling/roster.py
+++ b/comfreywind/scheduling/roster.py
@@ -12,7 +12,7 @@
 from comfreywind.jobs.tables import HOLDER_PART, ROSTER_KEY, TABLE_TERM
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.target_record import TargetRecord
 from comfreywind.scheduling.term_row import decode_roster, encode_roster
 
@@ -33,7 +33,7 @@
     def __init__(
         self,
         rows: RowsClient,
-        board: Board,
+        board: SchedulerState,
         clock: Clock,
         note_change: Callable[[], None],
         permit: Permit,
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -48,7 +48,7 @@
 log = logging.getLogger('comfreywind.board')
 
 
-class Board:
+class SchedulerState:
     """Jobs, targets and runs of one term of a holder."""
 
     def __init__(self, epoch: int) -> None:
--- a/comfreywind/scheduling/settlement.py
+++ b/comfreywind/scheduling/settlement.py
@@ -10,7 +10,7 @@
 from comfreywind.errors import StoreUnavailableError
 from comfreywind.jobs.tables import PROGRESS_PARTS, TABLE_PROGRESS
 from comfreywind.platform.rows_client import RowsClient
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.progress_journal import ProgressJournal
 from comfreywind.scheduling.roster import Roster
 from comfreywind.scheduling.target_link import UNSEEN_LAPSE_S
@@ -29,7 +29,7 @@
         self,
         term: HeldTerm,
         rows: RowsClient,
-        board: Board,
+        board: SchedulerState,
         journal: ProgressJournal,
         roster: Roster,
         clock: Clock,
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -12,7 +12,7 @@
 from comfreywind.jobs.start_answer import StartAnswer
 from comfreywind.metrics import Metrics
 from comfreywind.platform.target_client import TargetClient
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.orders import Order, PaceOrder, StartOrder, StopOrder
 from comfreywind.scheduling.progress_journal import ProgressJournal
 from comfreywind.scheduling.run_record import RunState
@@ -53,7 +53,7 @@
         self,
         record: TargetRecord,
         client: TargetClient,
-        board: Board,
+        board: SchedulerState,
         journal: ProgressJournal,
         keeper: TermKeeper,
         clock: Clock,
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -24,7 +24,7 @@
 from comfreywind.platform.vm_client import VmClient, VmOrderAnswer
 from comfreywind.platform.wave_codec import encode_wave_state
 from comfreywind.platform.wire import PREFIX_WAVE, TABLE_STATUS
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.order_turns import OrderTurns
 from comfreywind.scheduling.orders import Order
 from comfreywind.scheduling.rules_follower import RulesFollower
@@ -60,7 +60,7 @@
         watch: VmWatch,
         rules: RulesFollower,
         keeper: TermKeeper,
-        board: Board,
+        board: SchedulerState,
         clock: Clock,
         publish: Callable[[list[Order]], None],
     ) -> None:
--- a/comfreywind/scheduling/vm_watch.py
+++ b/comfreywind/scheduling/vm_watch.py
@@ -9,7 +9,7 @@
 from comfreywind.errors import StoreUnavailableError
 from comfreywind.jobs.vm import Vm
 from comfreywind.platform.vm_client import VmClient
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 
 # Each reading is a call to the platform, so the list is read only while someone needs it.
 LIST_INTERVAL_S = 0.8
@@ -23,7 +23,7 @@
 class VmWatch:
     """Owns the list; `needed` says whether it has to be fresh."""
 
-    def __init__(self, client: VmClient, board: Board, clock: Clock) -> None:
+    def __init__(self, client: VmClient, board: SchedulerState, clock: Clock) -> None:
         """Use the client of the VM service and the board of the term."""
         self._client = client
         self._board = board
--- a/tests/helpers/board_rig.py
+++ b/tests/helpers/board_rig.py
@@ -13,7 +13,7 @@
 from comfreywind.jobs.target_entry import TargetEntry
 from comfreywind.jobs.task_key import TaskKey
 from comfreywind.jobs.team import Team
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.orders import Order, StartOrder, StopOrder
 from comfreywind.scheduling.planner import Planner
 from comfreywind.settings.address import Address
@@ -36,7 +36,7 @@
 
     def __init__(self, targets: int = 2, cpu: int = 4000, epoch: int = 1) -> None:
         """Register the targets t0, t1, ... which have reported nothing running."""
-        self.board = Board(epoch)
+        self.board = SchedulerState(epoch)
         self.planner = Planner(self.board)
         self.board.rules = JobRules(1, queues={QUEUE.name: QUEUE}, teams={TEAM: Team(TEAM)})
         self.now_s = 100.0
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -26,7 +26,7 @@
 )
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling import holder, job_retention
-from comfreywind.scheduling.scheduler_state import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.job_retention import JobRetention
 from comfreywind.settings.node import JobTimings
 from comfreywind.stand_ins.jobs.row_store import RowStore
@@ -96,7 +96,7 @@
 
     async def take_over(self) -> None:
         """Have a new holder read the job."""
-        self.board = Board(1)
+        self.board = SchedulerState(1)
         self.retention = JobRetention(
             self.rows, self.board, RETENTION_S, self.clock, lambda: self.permitted
         )
