--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -42,9 +42,9 @@
         """Prepare the fleet; every VM starts in its pool, without work."""
         self._model = model
         self._arrivals = {arrival.job.job_id: arrival for arrival in arrivals}
-        self._board = SchedulerState(1)
-        self._planner = Planner(self._board, policy.find_turn)
-        self._sizer = None if policy.pools is None else PoolSizer(self._board, policy.pools)
+        self._state = SchedulerState(1)
+        self._planner = Planner(self._state, policy.find_turn)
+        self._sizer = None if policy.pools is None else PoolSizer(self._state, policy.pools)
         self._events: list[tuple[float, int, Act]] = []
         self._numbers = itertools.count()
         self._now_s: float = 0
@@ -57,7 +57,7 @@
         pools = {name: Pool(name) for name in model.vms_by_pool}
         pools[model.standby_pool] = Pool(model.standby_pool, standby=True)
         queues = {arrival.job.queue.name: arrival.job.queue for arrival in self._arrivals.values()}
-        self._board.rules = JobRules(1, queues, pools)
+        self._state.rules = JobRules(1, queues, pools)
         self._add_vms()
 
     def run(self) -> Outcome:
@@ -73,7 +73,7 @@
             self._now_s = event[0]
             event[2]()
         self._count_vm_seconds(end_s)
-        note_unfinished(self._outcome, self._arrivals.values(), self._board)
+        note_unfinished(self._outcome, self._arrivals.values(), self._state)
         return self._outcome
 
     # Fleet
@@ -102,7 +102,7 @@
             frozenset((vm.rack,)),
             1,
         )
-        self._board.set_target(entry, self._now_s).rostered = True
+        self._state.set_target(entry, self._now_s).rostered = True
         vm.arrival_s = self._now_s
         self._report(vm)
 
@@ -111,7 +111,7 @@
         self._at(self._now_s + self._model.list_interval_s, self._read_list)
 
     def _size_pools(self, sizer: PoolSizer) -> None:
-        pools = self._board.rules.pools.values()
+        pools = self._state.rules.pools.values()
         for move in sizer.choose(pools, self._listed, self._now_s):
             if sizer.begin(self._listed[move.vm], move.pool, self._now_s):
                 self._move(self._vms[move.vm], move.pool)
@@ -121,7 +121,7 @@
         self._outcome.moves += 1
         if vm.pool != self._model.standby_pool:
             self._outcome.vm_seconds += self._now_s - vm.arrival_s
-            del self._board.targets[vm.target_id]
+            del self._state.targets[vm.target_id]
         vm.up = False
         vm.pool = pool
         vm.arrival_s = self._now_s
@@ -143,7 +143,7 @@
     # Work
 
     def _accept(self, arrival: Arrival) -> None:
-        self._board.add_job(arrival.job, Progress(), 1, settled=True)
+        self._state.add_job(arrival.job, Progress(), 1, settled=True)
         self._wake()
 
     def _wake(self) -> None:
@@ -155,7 +155,7 @@
     def _plan(self) -> None:
         self._plan_due = False
         orders = self._planner.plan(self._now_s, self._now_s * MS_PER_S)
-        self._board.take_changed()
+        self._state.take_changed()
         self._send(orders)
 
     def _send(self, orders: Iterable[Order]) -> None:
@@ -173,11 +173,11 @@
     def _start(self, order: StartOrder) -> None:
         vm = self._by_target[order.target_id]
         if vm.target_id != order.target_id or not vm.up:
-            self._board.note_start(order, StartAnswer.REPLACED, self._now_s)
+            self._state.note_start(order, StartAnswer.REPLACED, self._now_s)
             self._wake()
             return
         vm.runs[order.key] = order.run_id
-        self._board.note_start(order, StartAnswer.STARTED, self._now_s)
+        self._state.note_start(order, StartAnswer.STARTED, self._now_s)
         arrival = self._arrivals[order.key.job_id]
         work_s = arrival.durations_s[order.key.step][order.key.number]
         self._at(self._now_s + work_s, partial(self._end, vm, order.key, order.run_id))
@@ -190,14 +190,14 @@
         self._at(self._take_turn() + self._model.order_s, partial(self._report, vm))
 
     def _report(self, vm: EmulatedVm) -> None:
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is None:
             return
         report = vm.report(int(self._now_s * MS_PER_S))
-        self._send(self._board.apply_report(record, report, self._now_s, self._now_s))
+        self._send(self._state.apply_report(record, report, self._now_s, self._now_s))
         # A report may hold several ends of a job, which is complete only once.
         for job_id in dict.fromkeys(ended.key.job_id for ended in report.ended):
-            if not self._board.jobs[job_id].open:
+            if not self._state.jobs[job_id].open:
                 note_end(self._outcome, self._arrivals[job_id], self._now_s)
         self._wake()
 
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -23,7 +23,7 @@
 
     def __init__(self, board: SchedulerState, policy: PoolPolicy) -> None:
         """Watch the jobs of the board; those that are there already belong to `recall`."""
-        self._board = board
+        self._state = board
         self._policy = policy
         self._surges: dict[str, SurgeMemory] = {}
         self._trends: dict[str, DemandTrend] = {}
@@ -33,11 +33,11 @@
         """Learn from the jobs on the board which turns of demand earlier holders have met."""
         from_ms = now_ms - self._policy.surge_memory_s * MS_PER_S
         pasts: dict[str, list[PastWork]] = {}
-        for record in self._board.jobs.values():
+        for record in self._state.jobs.values():
             if record.job.accepted_ms >= from_ms:
-                past = pasts.setdefault(self._board.find_pool(record), [])
+                past = pasts.setdefault(self._state.find_pool(record), [])
                 past.extend(list_past_work(record.job))
-        sizes = self._find_vm_sizes(group_by_pool(self._board), pasts)
+        sizes = self._find_vm_sizes(group_by_pool(self._state), pasts)
         for pool, works in pasts.items():
             size = sizes[pool]
             surges = self._find_surges(pool)
@@ -46,13 +46,13 @@
 
     def note_jobs(self, works: Mapping[str, PoolWork], now_s: float) -> None:
         """Take in the jobs that have come since the last look, with the pools as they are now."""
-        jobs = self._board.jobs
-        added_count = self._board.added_jobs_count
+        jobs = self._state.jobs
+        added_count = self._state.added_jobs_count
         new = list(islice(reversed(jobs.values()), added_count - self._seen_jobs_count))
         self._seen_jobs_count = added_count
         records_by_pool: dict[str, list[JobRecord]] = {pool: [] for pool in self._trends}
         for record in new:
-            records_by_pool.setdefault(self._board.find_pool(record), []).append(record)
+            records_by_pool.setdefault(self._state.find_pool(record), []).append(record)
         sizes = self._find_vm_sizes(works, records_by_pool)
         for pool, records in records_by_pool.items():
             size = sizes[pool]
@@ -76,7 +76,7 @@
         self, works: Mapping[str, PoolWork], pools: Iterable[str]
     ) -> dict[str, Resources]:
         """Return the mean size of the VMs of each pool, or of all VMs if the pool has none."""
-        usual = find_mean_size(list(self._board.targets.values()))
+        usual = find_mean_size(list(self._state.targets.values()))
         sizes: dict[str, Resources] = {}
         for pool in pools:
             work = works.get(pool)
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -55,7 +55,7 @@
     ) -> None:
         """Use the store's client; nothing is changed unless `permit` is True at that moment."""
         self._rows = rows
-        self._board = board
+        self._state = board
         self._retention_s = retention_s
         self._clock = clock
         self._permit = permit
@@ -72,7 +72,7 @@
 
     def note_ended(self, job_id: str, version: int, progress_version: int) -> None:
         """Note that a tombstone stands for the job; its progress was last seen at the version."""
-        record = self._board.jobs.get(job_id)
+        record = self._state.jobs.get(job_id)
         if record is not None:
             progress_version = record.progress_version
             self._drop(job_id)
@@ -120,12 +120,12 @@
         now_s = self._clock.read_monotonic_s()
         return [
             job_id
-            for job_id, record in self._board.jobs.items()
+            for job_id, record in self._state.jobs.items()
             if self._is_due(job_id, record, now_s)
         ]
 
     def _is_due(self, job_id: str, record: JobRecord, now_s: float) -> bool:
-        if record.open or record.runs or job_id in self._board.changed_jobs:
+        if record.open or record.runs or job_id in self._state.changed_jobs:
             self._ended_s.pop(job_id, None)
             return False
         ended_s = self._ended_s.setdefault(job_id, now_s)
@@ -134,7 +134,7 @@
     async def _replace(self, part: str, job_ids: Sequence[str]) -> None:
         """Put tombstones in the place of the accepted ones."""
         changes: list[RowChange] = []
-        jobs = self._board.jobs
+        jobs = self._state.jobs
         records = [jobs[each] for each in job_ids if each in jobs and each in self._versions]
         for record in records:
             ended = EndedJob(find_owner(record.job), record.progress.state)
@@ -213,9 +213,9 @@
         return (self._removals[job_id] for job_id in job_ids if job_id in self._removals)
 
     def _drop(self, job_id: str) -> None:
-        record = self._board.jobs.get(job_id)
+        record = self._state.jobs.get(job_id)
         if record is not None and not record.open:
-            self._board.drop_job(job_id)
+            self._state.drop_job(job_id)
         self._versions.pop(job_id, None)
         self._ended_s.pop(job_id, None)
 
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -43,7 +43,7 @@
         """Plan for this board, with jobs in the order of work that the function gives."""
         self._metrics = metrics or NoMetrics()
         self._order_work = order_work
-        self._board = board
+        self._state = board
         self._advice: dict[tuple[str, int, int], Advice] = {}
         self._questions: list[AdviceQuestion] = []
         self._refused: list[Resources] = []
@@ -56,11 +56,11 @@
         self._questions.clear()
         waiting_by_pool: dict[str, list[JobRecord]] = {}
         self._now_s = now_s
-        for record in list(self._board.open_jobs.values()):
+        for record in list(self._state.open_jobs.values()):
             if not self._try(record, partial(self._unlock_steps, record, now_ms)):
                 continue
             if record.waiting and record.settled:
-                waiting_by_pool.setdefault(self._board.find_pool(record), []).append(record)
+                waiting_by_pool.setdefault(self._state.find_pool(record), []).append(record)
         ready = self._list_ready(waiting_by_pool.keys(), now_s)
         for pool, records in waiting_by_pool.items():
             if ready[pool]:
@@ -80,7 +80,7 @@
     ) -> None:
         """Take in an answer; the tickets count from the question, as the service may have."""
         key = (question.job_id, question.occurrence, question.step)
-        record = self._board.jobs.get(question.job_id)
+        record = self._state.jobs.get(question.job_id)
         if record is None:
             return
         advice = self._advice.setdefault(key, Advice())
@@ -92,7 +92,7 @@
     def _list_ready(self, pools: Collection[str], now_s: float) -> dict[str, list[TargetRecord]]:
         """Return the targets of each pool that may get work now, in one pass over all targets."""
         ready: dict[str, list[TargetRecord]] = {pool: [] for pool in pools}
-        for target in self._board.targets.values() if ready else ():
+        for target in self._state.targets.values() if ready else ():
             if target.entry.pool in ready and target.may_start(now_s):
                 ready[target.entry.pool].append(target)
         return ready
@@ -118,12 +118,12 @@
             # Another plan would fail alike, and with it the starts of all other jobs.
             log.error('job %s is set aside', record.job.job_id)
             note_unexpected('planner', error, self._metrics)
-            self._board.set_aside(record, self._now_s)
+            self._state.set_aside(record, self._now_s)
             return False
         return True
 
     def _describe(self, record: JobRecord) -> JobStanding:
-        queue = self._board.rules.queues.get(record.job.queue.name, record.job.queue)
+        queue = self._state.rules.queues.get(record.job.queue.name, record.job.queue)
         return JobStanding(
             lasting=record.job.lasting,
             excess=record.excess,
@@ -188,8 +188,8 @@
         """Undo starts that were not sent."""
         for order in orders:
             record.last_run_ids[order.key] = order.run_id - 1
-            self._board.forget_run(record.runs[order.key])
-            self._board.requeue(order.key)
+            self._state.forget_run(record.runs[order.key])
+            self._state.requeue(order.key)
             self._note_room(order.target_id)
 
     def _start_task(
@@ -234,14 +234,14 @@
 
     def _note_room(self, target_id: str) -> None:
         """Take in that a target has more or less room, or takes no further task."""
-        target = self._board.targets[target_id]
+        target = self._state.targets[target_id]
         if target.may_start(self._now_s):
             self._rooms.replace(_describe_room(target))
         else:
             self._rooms.remove(target_id)
 
     def _find_run_id(self, record: JobRecord, keys: list[TaskKey]) -> int:
-        first = (self._board.epoch - 1) * RUNS_PER_TERM
+        first = (self._state.epoch - 1) * RUNS_PER_TERM
         return 1 + max(record.last_run_ids.get(key, first) for key in keys)
 
     def _add_run(self, record: JobRecord, key: TaskKey, run_id: int, target_id: str) -> None:
@@ -262,7 +262,7 @@
             filler=step.filler,
             lasting=step.lasting,
         )
-        self._board.add_run(run, record)
+        self._state.add_run(run, record)
 
     def _find_approved(
         self, record: JobRecord, step_key: tuple[int, int], targets: list[TargetRecord]
@@ -286,13 +286,13 @@
             record.unlocked.add(step_key)
             occurrence, number = step_key
             for index in range(record.job.steps[number].task_count):
-                self._board.requeue(TaskKey(record.job.job_id, occurrence, number, index))
+                self._state.requeue(TaskKey(record.job.job_id, occurrence, number, index))
 
     def _is_below_ceiling(self, team_name: str, request: Resources) -> bool:
-        team = self._board.rules.teams.get(team_name)
+        team = self._state.rules.teams.get(team_name)
         if team is None:
             return True
-        total = self._board.team_use.get(team_name, NO_RESOURCES).add(request)
+        total = self._state.team_use.get(team_name, NO_RESOURCES).add(request)
         return total.is_within(team.ceiling)
 
     def _narrow_to_rack(
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -43,7 +43,7 @@
     ) -> None:
         """Size the pools of the board's targets; `is_open` tells which VMs may be ordered now."""
         self._is_open = is_open
-        self._board = board
+        self._state = board
         self._policy = policy
         self._orders: dict[str, VmOrder] = {}
         self._destinations: dict[str, str] = {}
@@ -74,7 +74,7 @@
 
     def begin(self, vm: Vm, pool: str, now_s: float) -> bool:
         """Note that the move is about to be ordered; return False when the VM has work now."""
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is not None and record.runs:
             return False
         if record is not None:
@@ -110,12 +110,12 @@
         del self._destinations[name]
 
     def _release(self, target_id: str) -> None:
-        record = self._board.targets.get(target_id)
+        record = self._state.targets.get(target_id)
         if record is not None:
-            self._board.take_back_order(record)
+            self._state.take_back_order(record)
 
     def _group_by_pool(self, vms: Mapping[str, Vm]) -> dict[str, PoolWork]:
-        works = group_by_pool(self._board)
+        works = group_by_pool(self._state)
         for vm in vms.values():
             works.setdefault(vm.pool, PoolWork()).vms.append(vm)
         for pool in self._destinations.values():
@@ -146,7 +146,7 @@
     def _is_idle(self, vm: Vm, standby: bool) -> bool:
         if not vm.up or vm.name in self._orders or not self._is_open(vm.name):
             return False
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is None:
             return standby
         # What runs on a target that has not answered this holder is not known.
--- a/comfreywind/scheduling/progress_journal.py
+++ b/comfreywind/scheduling/progress_journal.py
@@ -29,7 +29,7 @@
     def __init__(self, rows: RowsClient, board: SchedulerState) -> None:
         """Use the store's client and the board of the term."""
         self._rows = rows
-        self._board = board
+        self._state = board
         self._wake = trio.Event()
         self._stored = trio.Event()
 
@@ -51,9 +51,9 @@
             stored = decode_progress(row.payload)
         except RowFormatError as error:
             log.warning('progress of job %s is written anew: %s', row.key, error)
-            self._board.mark_changed(record)
+            self._state.mark_changed(record)
             return
-        self._board.join_progress(record, stored)
+        self._state.join_progress(record, stored)
         if stored.state is JobState.CANCELLED:
             record.progress.state = JobState.CANCELLED
 
@@ -70,9 +70,9 @@
     async def flush(self) -> bool:
         """Store all changes; return False when some have to be tried again."""
         applied = {
-            target_id: target.applied_number for target_id, target in self._board.targets.items()
+            target_id: target.applied_number for target_id, target in self._state.targets.items()
         }
-        changed = self._board.take_changed()
+        changed = self._state.take_changed()
         try:
             stored = await self._store_parts(changed)
         except Exception:
@@ -124,17 +124,17 @@
     def _merge(self, rows: tuple[StoredRow, ...]) -> None:
         """Join rows that changed: a caller's cancelling, or an earlier write of this journal."""
         for row in rows:
-            record = self._board.jobs.get(row.key)
+            record = self._state.jobs.get(row.key)
             if record is not None:
                 self.merge_row(record, row)
 
     def _mark_again(self, records: list[JobRecord]) -> None:
         for record in records:
-            self._board.mark_changed(record)
+            self._state.mark_changed(record)
 
     def _acknowledge(self, applied: dict[str, int]) -> None:
         for target_id, number in applied.items():
-            target = self._board.targets.get(target_id)
+            target = self._state.targets.get(target_id)
             if target is not None and target.applied_number >= number:
                 target.stored_number = max(target.stored_number, number)
         self._stored.set()
--- a/comfreywind/scheduling/roster.py
+++ b/comfreywind/scheduling/roster.py
@@ -44,7 +44,7 @@
         """
         self._permit = permit
         self._rows = rows
-        self._board = board
+        self._state = board
         self._clock = clock
         self._note_change = note_change
         self._stored: frozenset[str] = frozenset()
@@ -65,7 +65,7 @@
 
     def update(self) -> None:
         """Have the row written if the targets have changed; returns at once."""
-        records = self._board.targets.values()
+        records = self._state.targets.values()
         if any(_may_run(record) and not record.rostered for record in records):
             self._wake.set()
             return
@@ -84,14 +84,14 @@
 
     def _list_wanted(self) -> frozenset[str]:
         wanted = frozenset(
-            target_id for target_id, record in self._board.targets.items() if _may_run(record)
+            target_id for target_id, record in self._state.targets.items() if _may_run(record)
         )
         return wanted | self.earlier if self._keeps_earlier else wanted
 
     async def _write(self) -> bool:
         """Write the targets that may get runs; return whether the row names just them."""
         wanted = self._list_wanted()
-        for target_id, record in self._board.targets.items():
+        for target_id, record in self._state.targets.items():
             # Nothing may start on a target while a row without it is under way.
             record.rostered = record.rostered and target_id in wanted
         self._written_s = self._clock.read_monotonic_s()
@@ -106,8 +106,8 @@
             log.info('%d targets are not stored: %s', len(wanted), error)
             return False
         self._stored = wanted
-        for target_id in wanted & self._board.targets.keys():
-            self._board.targets[target_id].rostered = True
+        for target_id in wanted & self._state.targets.keys():
+            self._state.targets[target_id].rostered = True
         return True
 
     def _take_earlier(self, row: StoredRow) -> None:
--- a/comfreywind/scheduling/settlement.py
+++ b/comfreywind/scheduling/settlement.py
@@ -38,7 +38,7 @@
         """Use the holder's parts; `is_dead` tells whether a target's life is certainly over."""
         self._term = term
         self._rows = rows
-        self._board = board
+        self._state = board
         self._journal = journal
         self._roster = roster
         self._clock = clock
@@ -69,7 +69,7 @@
             return
         self.done = True
         self._roster.forget_earlier()
-        self._board.settle(self._board.jobs.values())
+        self._state.settle(self._state.jobs.values())
         log.info(
             'term %d: settled after %.2f s, %d targets not seen',
             self._term.epoch,
@@ -80,11 +80,11 @@
     async def _join_progress(self) -> None:
         for page in await self._rows.read_parts(TABLE_PROGRESS, PROGRESS_PARTS):
             for row in page.rows:
-                record = self._board.jobs.get(row.key)
+                record = self._state.jobs.get(row.key)
                 if record is not None and row.version > record.progress_version:
                     self._journal.merge_row(record, row)
 
     def _is_unseen(self, target_id: str) -> bool:
-        record = self._board.targets.get(target_id)
+        record = self._state.targets.get(target_id)
         heard = record is not None and record.reported
         return not heard and not self._is_dead(target_id)
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -65,7 +65,7 @@
         self._metrics = metrics
         self._record = record
         self._client = client
-        self._board = board
+        self._state = board
         self._journal = journal
         self._keeper = keeper
         self._clock = clock
@@ -84,7 +84,7 @@
         except TargetReplacedError as error:
             log.info('target %s: %s', target_id, error)
             self._record.leaving = True
-            self._board.drop_runs(self._record, self._clock.read_monotonic_s())
+            self._state.drop_runs(self._record, self._clock.read_monotonic_s())
             self._publish([])
         finally:
             with trio.CancelScope(shield=True), trio.move_on_after(0.1):
@@ -111,11 +111,11 @@
     @_note_doubt.register
     def _note_start_doubt(self, order: StartOrder) -> list[Order]:
         now_s = self._clock.read_monotonic_s()
-        return self._board.note_start(order, StartAnswer.UNKNOWN, now_s)
+        return self._state.note_start(order, StartAnswer.UNKNOWN, now_s)
 
     @_note_doubt.register
     def _note_stop_doubt(self, order: StopOrder) -> list[Order]:
-        return self._board.note_stop(order, False, self._clock.read_monotonic_s())
+        return self._state.note_stop(order, False, self._clock.read_monotonic_s())
 
     @singledispatchmethod
     async def _send(self, order: Order) -> list[Order]:
@@ -125,7 +125,7 @@
     async def _send_start(self, order: StartOrder) -> list[Order]:
         expires_ms = self._find_expiry_ms()
         if expires_ms is None or not self._keeper.is_valid():
-            return self._board.note_start(
+            return self._state.note_start(
                 order, StartAnswer.EXPIRED, self._clock.read_monotonic_s()
             )
         sent_s = self._clock.read_monotonic_s()
@@ -133,7 +133,7 @@
             order.key,
             order.run_id,
             order.spec,
-            self._board.epoch,
+            self._state.epoch,
             expires_ms,
             order.checkpoint,
             order.ticket,
@@ -143,22 +143,22 @@
         if answer is StartAnswer.FENCED:
             self._keeper.depose(f'target {order.target_id} has a higher fence')
         self._wake.set()
-        return self._board.note_start(order, answer, self._clock.read_monotonic_s())
+        return self._state.note_start(order, answer, self._clock.read_monotonic_s())
 
     @_send.register
     async def _send_stop(self, order: StopOrder) -> list[Order]:
         confirmed = False
         if self._keeper.is_valid():
-            confirmed = await self._client.stop(order.key, order.run_id, self._board.epoch)
+            confirmed = await self._client.stop(order.key, order.run_id, self._state.epoch)
         if not confirmed:
             await trio.sleep(STOP_RETRY_S)
         self._wake.set()
-        return self._board.note_stop(order, confirmed, self._clock.read_monotonic_s())
+        return self._state.note_stop(order, confirmed, self._clock.read_monotonic_s())
 
     @_send.register
     async def _send_pace(self, order: PaceOrder) -> list[Order]:
         if self._keeper.is_valid():
-            await self._client.pace(order.key, order.run_id, order.percent, self._board.epoch)
+            await self._client.pace(order.key, order.run_id, order.percent, self._state.epoch)
         return []
 
     async def _look(self) -> bool:
@@ -173,7 +173,7 @@
         if extends:
             acknowledged = self._record.stored_number
         try:
-            report = await self._client.hold(self._board.epoch, acknowledged, expires_ms, wait_ms)
+            report = await self._client.hold(self._state.epoch, acknowledged, expires_ms, wait_ms)
         except TargetSilentError as error:
             self._record.acknowledged_number = acknowledged
             return self._note_silence(error)
@@ -195,7 +195,7 @@
     def _note_report(self, report: TargetReport, asked_s: float) -> None:
         now_s = self._clock.read_monotonic_s()
         self._clock_offset_ms = report.clock_ms - now_s * MS_PER_S
-        orders = self._board.apply_report(self._record, report, asked_s, now_s)
+        orders = self._state.apply_report(self._record, report, asked_s, now_s)
         if self._record.applied_number > self._record.stored_number:
             self._journal.wake()
         self._publish(orders)
@@ -210,7 +210,7 @@
             return True
         if record.runs:
             log.info('target %s: %d runs have lapsed', record.entry.target_id, len(record.runs))
-            self._board.drop_runs(record, now_s)
+            self._state.drop_runs(record, now_s)
             self._publish([])
         return not record.leaving
 
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -73,7 +73,7 @@
         self._watch = watch
         self._rules = rules
         self._keeper = keeper
-        self._board = board
+        self._state = board
         self._clock = clock
         self._publish = publish
         self._orders: dict[int, dict[str, VmOrder]] = {}
@@ -142,7 +142,7 @@
 
     def _mark_due(self, due: list[Vm]) -> None:
         for vm in due:
-            record = self._board.targets.get(vm.target_id)
+            record = self._state.targets.get(vm.target_id)
             if record is not None:
                 record.due = True
 
@@ -168,18 +168,18 @@
         return order.confirmed_s is not None and now_s - order.confirmed_s > ALREADY_DONE_S
 
     def _drop_target(self, target_id: str, now_s: float) -> None:
-        record = self._board.targets.get(target_id)
+        record = self._state.targets.get(target_id)
         if record is not None and record.runs:
-            self._board.drop_runs(record, now_s)
+            self._state.drop_runs(record, now_s)
             self._publish([])
         if record is not None:
             record.leaving = True
 
     def _keep_working(self, target_id: str) -> None:
-        record = self._board.targets.get(target_id)
+        record = self._state.targets.get(target_id)
         if record is not None:
             record.due = False
-            self._board.take_back_order(record)
+            self._state.take_back_order(record)
         self._emptying_since_s.pop(target_id, None)
 
     async def _empty_and_order(
@@ -245,21 +245,21 @@
         return sizes
 
     def _evict(self, vm: Vm, now_s: float) -> None:
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is not None and self._keeper.is_valid():
-            self._publish(self._board.evict_crowded(record, now_s))
+            self._publish(self._state.evict_crowded(record, now_s))
 
     def _start_emptying(self, vm: Vm, now_s: float) -> None:
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is not None:
             record.emptying = True
         self._emptying_since_s[vm.target_id] = now_s
 
     def _describe(self, vm: Vm, now_s: float, due_targets: Collection[str] = NO_TARGETS) -> WaveVm:
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         since_s = self._emptying_since_s.get(vm.target_id)
-        work = 0 if record is None else self._board.count_short_runs(record)
-        health = [] if record is None else self._board.list_step_health(record)
+        work = 0 if record is None else self._state.count_short_runs(record)
+        health = [] if record is None else self._state.list_step_health(record)
         return WaveVm(
             name=vm.name,
             pool=vm.pool,
@@ -282,9 +282,9 @@
         if not (self._keeper.is_valid() and self._turns.may_send(vm.name)):
             return
         now_s = self._clock.read_monotonic_s()
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is not None:
-            self._board.note_order(record)
+            self._state.note_order(record)
         order = orders.setdefault(vm.name, VmOrder(vm.name, vm.target_id, now_s))
         order.sent_s = now_s
         answer = await self._vm_client.maintain(vm.name, wave.wave, self._node, self._term.epoch)
--- a/comfreywind/scheduling/vm_watch.py
+++ b/comfreywind/scheduling/vm_watch.py
@@ -26,7 +26,7 @@
     def __init__(self, client: VmClient, board: SchedulerState, clock: Clock) -> None:
         """Use the client of the VM service and the board of the term."""
         self._client = client
-        self._board = board
+        self._state = board
         self._clock = clock
         self.vms: dict[str, Vm] = {}
         self.read_s = float('-inf')
@@ -84,11 +84,11 @@
     def _drop_dead(self) -> bool:
         living = self._find_living()
         dropped = False
-        for target_id, record in self._board.targets.items():
+        for target_id, record in self._state.targets.items():
             if target_id in living or not record.silent:
                 continue
             if record.runs:
                 log.info('target %s: its VM is down, %d runs lost', target_id, len(record.runs))
                 dropped = True
-            self._board.drop_runs(record, self._clock.read_monotonic_s())
+            self._state.drop_runs(record, self._clock.read_monotonic_s())
         return dropped
