--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -38,7 +38,7 @@
 from comfreywind.scheduling.pool_keeper import PoolKeeper
 from comfreywind.scheduling.pool_sizer import PoolSizer
 from comfreywind.scheduling.progress_journal import ProgressJournal
-from comfreywind.scheduling.roster import Roster
+from comfreywind.scheduling.target_registry import Roster
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.scheduling.rules_follower import RulesFollower
 from comfreywind.scheduling.settlement import Settlement
--- a/tests/scheduling/test_roster.py
+++ b/tests/scheduling/test_roster.py
@@ -14,7 +14,7 @@
 from comfreywind.http.client import Permit
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling.roster import RETRY_S, SHRINK_INTERVAL_S, Roster
+from comfreywind.scheduling.target_registry import RETRY_S, SHRINK_INTERVAL_S, Roster
 from comfreywind.scheduling.term_row import decode_roster, encode_roster
 from tests.helpers.board_rig import BoardRig, make_job
 from tests.helpers.trio_clock import TrioClock
