--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -38,7 +38,7 @@
 from comfreywind.scheduling.pool_keeper import PoolKeeper
 from comfreywind.scheduling.pool_sizer import PoolSizer
 from comfreywind.scheduling.progress_journal import ProgressJournal
-from comfreywind.scheduling.target_registry import Roster
+from comfreywind.scheduling.target_registry import TargetRegistry
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.scheduling.rules_follower import RulesFollower
 from comfreywind.scheduling.settlement import Settlement
@@ -94,7 +94,7 @@
         self._old_progress: dict[str, tuple[Progress, int]] = {}
         self._progress_loaded = trio.Event()
         self._unreadable_jobs: set[str] = set()
-        self._roster = Roster(rows, self.board, clock, self._wake_planner, self._may_order)
+        self._roster = TargetRegistry(rows, self.board, clock, self._wake_planner, self._may_order)
         self._settlement = Settlement(
             term, rows, self.board, self.journal, self._roster, clock, self._is_dead
         )
--- a/comfreywind/scheduling/settlement.py
+++ b/comfreywind/scheduling/settlement.py
@@ -12,7 +12,7 @@
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.progress_journal import ProgressJournal
-from comfreywind.scheduling.target_registry import Roster
+from comfreywind.scheduling.target_registry import TargetRegistry
 from comfreywind.scheduling.target_link import UNSEEN_LAPSE_S
 from comfreywind.scheduling.term_keeper import HeldTerm
 
@@ -31,7 +31,7 @@
         rows: RowsClient,
         board: SchedulerState,
         journal: ProgressJournal,
-        roster: Roster,
+        roster: TargetRegistry,
         clock: Clock,
         is_dead: Callable[[str], bool],
     ) -> None:
--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -23,7 +23,7 @@
 log = logging.getLogger('comfreywind.roster')
 
 
-class Roster:
+class TargetRegistry:
     """Owns the row of targets; a target gets no run before the row names it.
 
     Writing has a task of its own: while a slow store takes a new target in, work goes on to the
--- a/tests/scheduling/test_roster.py
+++ b/tests/scheduling/test_roster.py
@@ -14,7 +14,7 @@
 from comfreywind.http.client import Permit
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling.target_registry import RETRY_S, SHRINK_INTERVAL_S, Roster
+from comfreywind.scheduling.target_registry import RETRY_S, SHRINK_INTERVAL_S, TargetRegistry
 from comfreywind.scheduling.term_row import decode_roster, encode_roster
 from tests.helpers.board_rig import BoardRig, make_job
 from tests.helpers.trio_clock import TrioClock
@@ -52,10 +52,10 @@
         return decode_roster(self.payload)
 
 
-def start_roster(nursery: trio.Nursery, rig: BoardRig, store: SlowStore) -> Roster:
+def start_roster(nursery: trio.Nursery, rig: BoardRig, store: SlowStore) -> TargetRegistry:
     """Run the roster of the board and let it see the targets."""
     rows = cast('RowsClient', store)
-    roster = Roster(rows, rig.board, TrioClock(), lambda: None, lambda: store.permitted)
+    roster = TargetRegistry(rows, rig.board, TrioClock(), lambda: None, lambda: store.permitted)
     nursery.start_soon(roster.run)
     roster.update()
     return roster
