--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -94,9 +94,11 @@
         self._old_progress: dict[str, tuple[Progress, int]] = {}
         self._progress_loaded = trio.Event()
         self._unreadable_jobs: set[str] = set()
-        self._roster = TargetRegistry(rows, self.board, clock, self._wake_planner, self._may_order)
+        self._registry = TargetRegistry(
+            rows, self.board, clock, self._wake_planner, self._may_order
+        )
         self._settlement = Settlement(
-            term, rows, self.board, self.journal, self._roster, clock, self._is_dead
+            term, rows, self.board, self.journal, self._registry, clock, self._is_dead
         )
         self._watch: VmWatch | None = None
         self._retention = JobRetention(
@@ -145,7 +147,7 @@
             )
             self._start('tick', self._tick)
             self._start('levels', self._note_levels)
-            self._start('roster', self._roster.run)
+            self._start('roster', self._registry.run)
             self._start('retention', self._retention.run)
             self._start('settling', partial(self._settlement.run, self._wake_planner))
             if self._settings.advice_address is not None:
@@ -191,7 +193,7 @@
                 return
 
     async def _read_state(self) -> None:
-        await run_together((self._read_progress, self._roster.load, self._turns.load))
+        await run_together((self._read_progress, self._registry.load, self._turns.load))
 
     async def _read_progress(self) -> None:
         for page in await self._rows.read_parts(TABLE_PROGRESS, PROGRESS_PARTS):
@@ -370,7 +372,7 @@
             await trio.sleep(pause_s)
             self._wake = trio.Event()
             started_s = trio.current_time()
-            self._roster.update()
+            self._registry.update()
             if self._keeper.is_valid():
                 self._plan()
                 self._metrics.record_duration('plan', trio.current_time() - started_s)
--- a/comfreywind/scheduling/settlement.py
+++ b/comfreywind/scheduling/settlement.py
@@ -40,7 +40,7 @@
         self._rows = rows
         self._state = board
         self._journal = journal
-        self._roster = roster
+        self._registry = roster
         self._clock = clock
         self._is_dead = is_dead
         self.done = False
@@ -59,8 +59,8 @@
         acknowledge them there. So the progress is read once more after that.
         """
         waited_s = self._clock.read_monotonic_s() - self._term.taken_s
-        unseen = [target_id for target_id in self._roster.earlier if self._is_unseen(target_id)]
-        if not may_settle(len(unseen), self._roster.earlier_known, waited_s, UNSEEN_LAPSE_S):
+        unseen = [target_id for target_id in self._registry.earlier if self._is_unseen(target_id)]
+        if not may_settle(len(unseen), self._registry.earlier_known, waited_s, UNSEEN_LAPSE_S):
             return
         try:
             await self._join_progress()
@@ -68,7 +68,7 @@
             log.info('term %d: progress is not read again yet: %s', self._term.epoch, error)
             return
         self.done = True
-        self._roster.forget_earlier()
+        self._registry.forget_earlier()
         self._state.settle(self._state.jobs.values())
         log.info(
             'term %d: settled after %.2f s, %d targets not seen',
