--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -27,7 +27,7 @@
     stored_number: int = 0
     acknowledged_number: int = 0
     reported: bool = False
-    rostered: bool = False
+    in_registry: bool = False
     due: bool = False
     silent: bool = False
     lease_end_s: float = 0
@@ -43,7 +43,7 @@
 
     def may_start(self, now_s: float) -> bool:
         """Return whether new work may be given to the target at this moment."""
-        return self.rostered and self.is_usable(now_s)
+        return self.in_registry and self.is_usable(now_s)
 
     def is_usable(self, now_s: float) -> bool:
         """Return whether the target takes new work once the roster names it."""
--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -66,7 +66,7 @@
     def update(self) -> None:
         """Have the row written if the targets have changed; returns at once."""
         records = self._state.targets.values()
-        if any(_may_run(record) and not record.rostered for record in records):
+        if any(_may_run(record) and not record.in_registry for record in records):
             self._wake.set()
             return
         now_s = self._clock.read_monotonic_s()
@@ -93,7 +93,7 @@
         wanted = self._list_wanted()
         for target_id, record in self._state.targets.items():
             # Nothing may start on a target while a row without it is under way.
-            record.rostered = record.rostered and target_id in wanted
+            record.in_registry = record.in_registry and target_id in wanted
         self._written_s = self._clock.read_monotonic_s()
         change = RowChange(TABLE_TERM, ROSTER_KEY, encode_roster(wanted), self._version)
         try:
@@ -107,7 +107,7 @@
             return False
         self._stored = wanted
         for target_id in wanted & self._state.targets.keys():
-            self._state.targets[target_id].rostered = True
+            self._state.targets[target_id].in_registry = True
         return True
 
     def _take_earlier(self, row: StoredRow) -> None:
--- a/tests/scheduling/test_pool_sizer.py
+++ b/tests/scheduling/test_pool_sizer.py
@@ -65,7 +65,7 @@
         rig.add_job(make_job(Step(2, Resources(1000, 100)), job_id=f'{number:016x}'))
     rig.start()
     for record in rig.board.targets.values():
-        record.rostered = False
+        record.in_registry = False
     sizer = PoolSizer(rig.board, replace(POLICY, target_fill=1))
     assert not sizer.choose(POOLS, {**VMS, 'vm9': standby}, rig.now_s)
 
--- a/tests/scheduling/test_roster.py
+++ b/tests/scheduling/test_roster.py
@@ -64,7 +64,7 @@
 def add_new_target(rig: BoardRig, name: str) -> None:
     """Register a target that has reported and is not in the row yet."""
     rig.add_target(name)
-    rig.board.targets[name].rostered = False
+    rig.board.targets[name].in_registry = False
 
 
 async def test_work_goes_on(autojump_clock: trio.testing.MockClock) -> None:
@@ -91,7 +91,7 @@
     add_new_target(rig, 'late')
     async with trio.open_nursery() as nursery:
         start_roster(nursery, rig, store)
-        while not rig.board.targets['late'].rostered:
+        while not rig.board.targets['late'].in_registry:
             await trio.sleep(0.01)
             assert trio.current_time() < 6 * (COMMIT_S + RETRY_S)
         assert store.list_names() == {'late'}
@@ -133,5 +133,5 @@
         store.permitted = False
         await trio.sleep(5 * COMMIT_S)
         assert store.list_names() == {'theirs'}
-        assert not rig.board.targets['late'].rostered
+        assert not rig.board.targets['late'].in_registry
         nursery.cancel_scope.cancel()
