--- a/comfreywind/jobs/tables.py
+++ b/comfreywind/jobs/tables.py
@@ -12,7 +12,7 @@
 TERM_PART = 'term'
 TERM_KEY = 'holder'
 HOLDER_PART = 'holder'
-ROSTER_KEY = 'roster'
+REGISTRY_KEY = 'roster'
 ORDERS_KEY = 'orders'
 CANCEL_SUFFIX = ':cancel'
 # A store that is 100 times slower takes two transactions a second in a part: callers hand in up to
--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -9,7 +9,7 @@
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.http.client import Permit
 from comfreywind.jobs.row_format import RowFormatError
-from comfreywind.jobs.tables import HOLDER_PART, ROSTER_KEY, TABLE_TERM
+from comfreywind.jobs.tables import HOLDER_PART, REGISTRY_KEY, TABLE_TERM
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.scheduler_state import SchedulerState
@@ -57,7 +57,7 @@
 
     async def load(self) -> None:
         """Read what earlier holders stored; raise StoreUnavailableError without an answer."""
-        self._take_earlier(await self._rows.read_row(TABLE_TERM, HOLDER_PART, ROSTER_KEY))
+        self._take_earlier(await self._rows.read_row(TABLE_TERM, HOLDER_PART, REGISTRY_KEY))
 
     def forget_earlier(self) -> None:
         """Drop targets of earlier holders once all that may run there is known."""
@@ -95,7 +95,7 @@
             # Nothing may start on a target while a row without it is under way.
             record.in_registry = record.in_registry and target_id in wanted
         self._written_s = self._clock.read_monotonic_s()
-        change = RowChange(TABLE_TERM, ROSTER_KEY, encode_roster(wanted), self._version)
+        change = RowChange(TABLE_TERM, REGISTRY_KEY, encode_roster(wanted), self._version)
         try:
             self._version = await self._rows.commit(HOLDER_PART, [change], self._permit)
         except RowsChangedError as error:
--- a/tests/scheduling/test_foreign_rows.py
+++ b/tests/scheduling/test_foreign_rows.py
@@ -8,7 +8,7 @@
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
     HOLDER_PART,
-    ROSTER_KEY,
+    REGISTRY_KEY,
     TABLE_INTAKE,
     TABLE_PROGRESS,
     TABLE_TERM,
@@ -57,7 +57,7 @@
         await fleet.wait_for_state(0, JOB_ID, 'complete')
 
 
-@pytest.mark.parametrize(('part', 'key'), [(TERM_PART, TERM_KEY), (HOLDER_PART, ROSTER_KEY)])
+@pytest.mark.parametrize(('part', 'key'), [(TERM_PART, TERM_KEY), (HOLDER_PART, REGISTRY_KEY)])
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x91\x63', b'\x01'])
 async def test_unreadable_term_rows(part: str, key: str, garbage: bytes) -> None:
     """Guards against a fleet in which no node can take the term any more."""
--- a/tests/scheduling/test_holder.py
+++ b/tests/scheduling/test_holder.py
@@ -12,7 +12,7 @@
 from comfreywind.jobs.queue import Queue
 from comfreywind.jobs.tables import (
     HOLDER_PART,
-    ROSTER_KEY,
+    REGISTRY_KEY,
     TABLE_INTAKE,
     TABLE_PROGRESS,
     TABLE_TERM,
@@ -47,7 +47,7 @@
             store, TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID, encode_job(make_job(queue=queue))
         )
         write_row(store, TABLE_PROGRESS, part, JOB_ID, encode_progress(Progress()))
-        write_row(store, TABLE_TERM, HOLDER_PART, ROSTER_KEY, encode_roster(frozenset(('i-0',))))
+        write_row(store, TABLE_TERM, HOLDER_PART, REGISTRY_KEY, encode_roster(frozenset(('i-0',))))
         released = TermRow('node-9', 7, released=True)
         write_row(store, TABLE_TERM, TERM_PART, TERM_KEY, encode_term(released))
 
@@ -80,7 +80,7 @@
         fleet.scopes[0].cancel()
         store = fleet.store.store
         write_row(store, TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID, encode_job(make_job()))
-        write_row(store, TABLE_TERM, HOLDER_PART, ROSTER_KEY, encode_roster(frozenset(('i-0',))))
+        write_row(store, TABLE_TERM, HOLDER_PART, REGISTRY_KEY, encode_roster(frozenset(('i-0',))))
         released = TermRow('node-9', 7, released=True)
         write_row(store, TABLE_TERM, TERM_PART, TERM_KEY, encode_term(released))
         fleet.store.faults.delay_s = delay_s
