--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -14,7 +14,7 @@
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.target_record import TargetRecord
-from comfreywind.scheduling.term_row import decode_roster, encode_roster
+from comfreywind.scheduling.term_row import decode_roster, encode_registry
 
 # A target that is gone may stay in the row so long; that only delays a later holder.
 SHRINK_INTERVAL_S = 1.0
@@ -95,7 +95,7 @@
             # Nothing may start on a target while a row without it is under way.
             record.in_registry = record.in_registry and target_id in wanted
         self._written_s = self._clock.read_monotonic_s()
-        change = RowChange(TABLE_TERM, REGISTRY_KEY, encode_roster(wanted), self._version)
+        change = RowChange(TABLE_TERM, REGISTRY_KEY, encode_registry(wanted), self._version)
         try:
             self._version = await self._rows.commit(HOLDER_PART, [change], self._permit)
         except RowsChangedError as error:
--- a/comfreywind/scheduling/term_row.py
+++ b/comfreywind/scheduling/term_row.py
@@ -42,7 +42,7 @@
     return row
 
 
-def encode_roster(target_ids: frozenset[str]) -> bytes:
+def encode_registry(target_ids: frozenset[str]) -> bytes:
     """Return the row that names the targets which may have runs."""
     packed: bytes = msgpack.packb(sorted(target_ids))
     return packed
--- a/tests/scheduling/test_holder.py
+++ b/tests/scheduling/test_holder.py
@@ -21,7 +21,7 @@
     find_intake_part,
     find_progress_part,
 )
-from comfreywind.scheduling.term_row import TermRow, decode_term, encode_roster, encode_term
+from comfreywind.scheduling.term_row import TermRow, decode_term, encode_registry, encode_term
 from comfreywind.stand_ins.jobs.row_store import RowStore
 from comfreywind.stand_ins.jobs.target_app import JobTargetApp
 from tests.helpers.board_rig import JOB_ID, make_job
@@ -47,7 +47,9 @@
             store, TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID, encode_job(make_job(queue=queue))
         )
         write_row(store, TABLE_PROGRESS, part, JOB_ID, encode_progress(Progress()))
-        write_row(store, TABLE_TERM, HOLDER_PART, REGISTRY_KEY, encode_roster(frozenset(('i-0',))))
+        write_row(
+            store, TABLE_TERM, HOLDER_PART, REGISTRY_KEY, encode_registry(frozenset(('i-0',)))
+        )
         released = TermRow('node-9', 7, released=True)
         write_row(store, TABLE_TERM, TERM_PART, TERM_KEY, encode_term(released))
 
@@ -80,7 +82,9 @@
         fleet.scopes[0].cancel()
         store = fleet.store.store
         write_row(store, TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID, encode_job(make_job()))
-        write_row(store, TABLE_TERM, HOLDER_PART, REGISTRY_KEY, encode_roster(frozenset(('i-0',))))
+        write_row(
+            store, TABLE_TERM, HOLDER_PART, REGISTRY_KEY, encode_registry(frozenset(('i-0',)))
+        )
         released = TermRow('node-9', 7, released=True)
         write_row(store, TABLE_TERM, TERM_PART, TERM_KEY, encode_term(released))
         fleet.store.faults.delay_s = delay_s
--- a/tests/scheduling/test_roster.py
+++ b/tests/scheduling/test_roster.py
@@ -15,7 +15,7 @@
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.target_registry import RETRY_S, SHRINK_INTERVAL_S, TargetRegistry
-from comfreywind.scheduling.term_row import decode_roster, encode_roster
+from comfreywind.scheduling.term_row import decode_roster, encode_registry
 from tests.helpers.board_rig import BoardRig, make_job
 from tests.helpers.trio_clock import TrioClock
 
@@ -129,7 +129,7 @@
     async with trio.open_nursery() as nursery:
         start_roster(nursery, rig, store)
         await trio.sleep(COMMIT_S / 2)
-        store.payload, store.version = encode_roster(frozenset(('theirs',))), 7
+        store.payload, store.version = encode_registry(frozenset(('theirs',))), 7
         store.permitted = False
         await trio.sleep(5 * COMMIT_S)
         assert store.list_names() == {'theirs'}
