--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -14,7 +14,7 @@
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.target_record import TargetRecord
-from comfreywind.scheduling.term_row import decode_roster, encode_registry
+from comfreywind.scheduling.term_row import decode_registry, encode_registry
 
 # A target that is gone may stay in the row so long; that only delays a later holder.
 SHRINK_INTERVAL_S = 1.0
@@ -113,7 +113,7 @@
     def _take_earlier(self, row: StoredRow) -> None:
         self._version = row.version
         try:
-            self.earlier = decode_roster(row.payload)
+            self.earlier = decode_registry(row.payload)
         except RowFormatError as error:
             self.earlier_known = False
             log.warning('starts of older jobs wait until all earlier runs have lapsed: %s', error)
--- a/comfreywind/scheduling/term_row.py
+++ b/comfreywind/scheduling/term_row.py
@@ -48,7 +48,7 @@
     return packed
 
 
-def decode_roster(payload: bytes | None) -> frozenset[str]:
+def decode_registry(payload: bytes | None) -> frozenset[str]:
     """Return the targets that may have runs; raise RowFormatError when the row can't be read."""
     if not payload:
         return frozenset()
--- a/tests/scheduling/test_foreign_rows.py
+++ b/tests/scheduling/test_foreign_rows.py
@@ -17,7 +17,7 @@
     find_intake_part,
     find_progress_part,
 )
-from comfreywind.scheduling.term_row import decode_roster, decode_term
+from comfreywind.scheduling.term_row import decode_registry, decode_term
 from tests.helpers.board_rig import JOB_ID, make_job
 from tests.scheduling.test_holder import write_row
 
@@ -91,4 +91,4 @@
 def test_roster_format(garbage: bytes) -> None:
     """Guards against an error of another type than the one that the holder handles."""
     with pytest.raises(RowFormatError):
-        decode_roster(garbage)
+        decode_registry(garbage)
--- a/tests/scheduling/test_roster.py
+++ b/tests/scheduling/test_roster.py
@@ -15,7 +15,7 @@
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.target_registry import RETRY_S, SHRINK_INTERVAL_S, TargetRegistry
-from comfreywind.scheduling.term_row import decode_roster, encode_registry
+from comfreywind.scheduling.term_row import decode_registry, encode_registry
 from tests.helpers.board_rig import BoardRig, make_job
 from tests.helpers.trio_clock import TrioClock
 
@@ -49,7 +49,7 @@
 
     def list_names(self) -> frozenset[str]:
         """Return the targets that the row names."""
-        return decode_roster(self.payload)
+        return decode_registry(self.payload)
 
 
 def start_roster(nursery: trio.Nursery, rig: BoardRig, store: SlowStore) -> TargetRegistry:
