--- a/comfreywind/scheduling/settlement.py
+++ b/comfreywind/scheduling/settlement.py
@@ -31,7 +31,7 @@
         rows: RowsClient,
         board: SchedulerState,
         journal: ProgressJournal,
-        roster: TargetRegistry,
+        registry: TargetRegistry,
         clock: Clock,
         is_dead: Callable[[str], bool],
     ) -> None:
@@ -40,7 +40,7 @@
         self._rows = rows
         self._state = board
         self._journal = journal
-        self._registry = roster
+        self._registry = registry
         self._clock = clock
         self._is_dead = is_dead
         self.done = False
--- a/tests/scheduling/test_roster.py
+++ b/tests/scheduling/test_roster.py
@@ -55,10 +55,10 @@
 def start_roster(nursery: trio.Nursery, rig: BoardRig, store: SlowStore) -> TargetRegistry:
     """Run the roster of the board and let it see the targets."""
     rows = cast('RowsClient', store)
-    roster = TargetRegistry(rows, rig.board, TrioClock(), lambda: None, lambda: store.permitted)
-    nursery.start_soon(roster.run)
-    roster.update()
-    return roster
+    registry = TargetRegistry(rows, rig.board, TrioClock(), lambda: None, lambda: store.permitted)
+    nursery.start_soon(registry.run)
+    registry.update()
+    return registry
 
 
 def add_new_target(rig: BoardRig, name: str) -> None:
@@ -103,17 +103,17 @@
     rig, store = BoardRig(targets=0), SlowStore()
     add_new_target(rig, 'late')
     async with trio.open_nursery() as nursery:
-        roster = start_roster(nursery, rig, store)
+        registry = start_roster(nursery, rig, store)
         await trio.sleep(COMMIT_S + SHRINK_INTERVAL_S)
         record = rig.board.targets['late']
         record.silent = True
-        roster.update()
+        registry.update()
         await trio.sleep(0.1)
         record.silent = False
         assert not record.may_start(rig.now_s)
         with trio.fail_after(5 * COMMIT_S):
             while not record.may_start(rig.now_s):
-                roster.update()
+                registry.update()
                 await trio.sleep(0.1)
         assert store.list_names() == {'late'}
         nursery.cancel_scope.cancel()
