--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -41,7 +41,7 @@
 from comfreywind.scheduling.target_registry import TargetRegistry
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.scheduling.rules_follower import RulesFollower
-from comfreywind.scheduling.settlement import Settlement
+from comfreywind.scheduling.reconciliation import Settlement
 from comfreywind.scheduling.target_link import LONGEST_WAIT_S, TargetLink
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
 from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
