--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -41,7 +41,7 @@
 from comfreywind.scheduling.target_registry import TargetRegistry
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.scheduling.rules_follower import RulesFollower
-from comfreywind.scheduling.reconciliation import Settlement
+from comfreywind.scheduling.reconciliation import Reconciliation
 from comfreywind.scheduling.target_link import LONGEST_WAIT_S, TargetLink
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
 from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
@@ -97,7 +97,7 @@
         self._registry = TargetRegistry(
             rows, self.board, clock, self._wake_planner, self._may_order
         )
-        self._settlement = Settlement(
+        self._settlement = Reconciliation(
             term, rows, self.board, self.journal, self._registry, clock, self._is_dead
         )
         self._watch: VmWatch | None = None
--- a/comfreywind/scheduling/reconciliation.py
+++ b/comfreywind/scheduling/reconciliation.py
@@ -22,7 +22,7 @@
 log = logging.getLogger('comfreywind.holder')
 
 
-class Settlement:
+class Reconciliation:
     """Allows starts of older jobs once no run of an earlier holder can be unseen."""
 
     def __init__(
