--- a/comfreywind/decisions/scheduling/handover.py
+++ b/comfreywind/decisions/scheduling/handover.py
@@ -1,7 +1,9 @@
 """When a new holder may start work that an earlier one may have started."""
 
 
-def may_settle(unseen_targets: int, registry_known: bool, waited_s: float, lapse_s: float) -> bool:
+def may_reconcile(
+    unseen_targets: int, registry_known: bool, waited_s: float, lapse_s: float
+) -> bool:
     """Return whether no run of an earlier holder can be unseen any more.
 
     A target was seen once it has answered this holder, whose higher fence then keeps late orders of
--- a/comfreywind/scheduling/reconciliation.py
+++ b/comfreywind/scheduling/reconciliation.py
@@ -6,7 +6,7 @@
 import trio
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.scheduling.handover import may_settle
+from comfreywind.decisions.scheduling.handover import may_reconcile
 from comfreywind.errors import StoreUnavailableError
 from comfreywind.jobs.tables import PROGRESS_PARTS, TABLE_PROGRESS
 from comfreywind.platform.rows_client import RowsClient
@@ -60,7 +60,7 @@
         """
         waited_s = self._clock.read_monotonic_s() - self._term.taken_s
         unseen = [target_id for target_id in self._registry.earlier if self._is_unseen(target_id)]
-        if not may_settle(len(unseen), self._registry.earlier_known, waited_s, UNSEEN_LAPSE_S):
+        if not may_reconcile(len(unseen), self._registry.earlier_known, waited_s, UNSEEN_LAPSE_S):
             return
         try:
             await self._join_progress()
--- a/tests/model/handover_model.py
+++ b/tests/model/handover_model.py
@@ -12,7 +12,7 @@
 
 from minicheck import Protocol
 
-from comfreywind.decisions.scheduling.handover import may_settle
+from comfreywind.decisions.scheduling.handover import may_reconcile
 from comfreywind.decisions.scheduling.term import (
     LeaseSighting,
     TermStep,
@@ -220,7 +220,7 @@
 
 def _list_settling(state: State, number: int, holder: Holder, removed: Removed) -> Iterator[Move]:
     unseen = sum(not each for each in holder.seen)
-    settles = may_settle(unseen, registry_known=True, waited_s=holder.taken_age, lapse_s=LAPSE)
+    settles = may_reconcile(unseen, registry_known=True, waited_s=holder.taken_age, lapse_s=LAPSE)
     if not settles and removed is not Removed.SETTLING:
         return
     done = holder.done or state[0].done
