--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -143,7 +143,7 @@
     # Work
 
     def _accept(self, arrival: Arrival) -> None:
-        self._state.add_job(arrival.job, Progress(), 1, settled=True)
+        self._state.add_job(arrival.job, Progress(), 1, reconciled=True)
         self._wake()
 
     def _wake(self) -> None:
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -288,7 +288,7 @@
             return
         new = row.version > self._term.taken_version
         self._retention.note_accepted(row.key, row.version)
-        self.board.add_job(accepted, progress, version, settled=new or self._settlement.done)
+        self.board.add_job(accepted, progress, version, reconciled=new or self._settlement.done)
         self._wake.set()
 
     # Targets
--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -19,7 +19,7 @@
     job: Job
     progress: Progress
     progress_version: int
-    settled: bool
+    reconciled: bool
     excess: bool = False
     waiting: dict[TaskKey, None] = field(default_factory=dict)
     runs: dict[TaskKey, RunRecord] = field(default_factory=dict)
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -59,7 +59,7 @@
         for record in list(self._state.open_jobs.values()):
             if not self._try(record, partial(self._unlock_steps, record, now_ms)):
                 continue
-            if record.waiting and record.settled:
+            if record.waiting and record.reconciled:
                 waiting_by_pool.setdefault(self._state.find_pool(record), []).append(record)
         ready = self._list_ready(waiting_by_pool.keys(), now_s)
         for pool, records in waiting_by_pool.items():
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -66,11 +66,11 @@
 
     # What the store tells
 
-    def add_job(self, job: Job, progress: Progress, version: int, settled: bool) -> None:
+    def add_job(self, job: Job, progress: Progress, version: int, reconciled: bool) -> None:
         """Take in an accepted job; a job that is known already is left as it is."""
         if job.job_id in self.jobs:
             return
-        record = JobRecord(job, progress, version, settled)
+        record = JobRecord(job, progress, version, reconciled)
         self.jobs[job.job_id] = record
         self.added_jobs_count += 1
         if record.open:
@@ -308,7 +308,7 @@
     def settle(self, records: Iterable[JobRecord]) -> None:
         """Allow starts of jobs whose runs under an earlier holder are all accounted for."""
         for record in records:
-            record.settled = True
+            record.reconciled = True
 
     def add_run(self, run: RunRecord, record: JobRecord | None) -> None:
         self.targets[run.target_id].add_run(run)
--- a/tests/helpers/board_rig.py
+++ b/tests/helpers/board_rig.py
@@ -51,10 +51,10 @@
         self.board.set_target(entry, self.now_s).in_registry = True
         self.report(name)
 
-    def add_job(self, job: Job | None = None, settled: bool = True) -> Job:
+    def add_job(self, job: Job | None = None, reconciled: bool = True) -> Job:
         """Hand in a job."""
         accepted = job or make_job()
-        self.board.add_job(accepted, Progress(), 1, settled)
+        self.board.add_job(accepted, Progress(), 1, reconciled)
         return accepted
 
     def plan(self) -> list[Order]:
--- a/tests/model/handover_model.py
+++ b/tests/model/handover_model.py
@@ -57,7 +57,7 @@
     taken_age: int = 0
     done: bool = False
     stored: bool = False
-    settled: bool = False
+    reconciled: bool = False
     seen: tuple[bool, bool] = (False, False)
     run: int = NO_RUN
 
@@ -85,7 +85,7 @@
 
 def make_handover_protocol(removed: Removed = Removed.NOTHING) -> Protocol:
     """Return the protocol; the first holder has the term and the task was not started."""
-    first = Holder(epoch=1, renewed_age=0, taken_age=OLDEST, settled=True, seen=(True, True))
+    first = Holder(epoch=1, renewed_age=0, taken_age=OLDEST, reconciled=True, seen=(True, True))
     targets = (Target(fence=1), Target(fence=1))
     return Protocol(
         name='change of the holder',
@@ -168,7 +168,7 @@
         renewed = _with_holder(state, number, holder._replace(renewed_age=0))
         yield 'renews', (row._replace(age=0), *renewed[1:])  # type: ignore[misc]
     yield from _list_looks(state, number, holder, valid, removed)
-    if not holder.settled:
+    if not holder.reconciled:
         yield from _list_settling(state, number, holder, removed)
     elif valid and not holder.done and holder.run == NO_RUN and state[3] is None:
         for target in TARGETS:
@@ -224,8 +224,8 @@
     if not settles and removed is not Removed.SETTLING:
         return
     done = holder.done or state[0].done
-    settled = holder._replace(settled=True, done=done, stored=holder.stored or state[0].done)
-    yield 'settles', _with_holder(state, number, settled)
+    reconciled = holder._replace(reconciled=True, done=done, stored=holder.stored or state[0].done)
+    yield 'settles', _with_holder(state, number, reconciled)
 
 
 def _start(state: State, number: int, holder: Holder, target: int) -> State:
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -157,7 +157,7 @@
 def test_adopted_run() -> None:
     """Guards against a second run of a task that an earlier holder started."""
     rig = BoardRig(epoch=2)
-    rig.add_job(settled=False)
+    rig.add_job(reconciled=False)
     assert not rig.plan()
     rig.report('t0', active=((KEY, 1),))
     rig.board.settle(rig.board.jobs.values())
@@ -171,7 +171,7 @@
     rig = BoardRig(epoch=2)
     if case != 'unknown':
         progress = Progress(done={(0, 0, 0)}) if case == 'done' else Progress()
-        rig.board.add_job(make_job(), progress, 1, settled=True)
+        rig.board.add_job(make_job(), progress, 1, reconciled=True)
     if case == 'cancelled':
         rig.board.cancel_job(JOB_ID)
     if case == 'elsewhere':
@@ -429,7 +429,7 @@
     """
     rig = BoardRig(epoch=2)
     stored = Progress(failures={(0, 0, 0): {1, 2}})
-    rig.board.add_job(make_job(), decode_progress(encode_progress(stored)), 1, settled=True)
+    rig.board.add_job(make_job(), decode_progress(encode_progress(stored)), 1, reconciled=True)
     rig.report('t0', ended=((KEY, 2, RunOutcome.FAILED),))
     assert rig.board.jobs[JOB_ID].open
     (order,) = rig.start()
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -108,7 +108,7 @@
             self.retention.note_ended(JOB_ID, accepted.version, progress.version)
             return
         self.retention.note_accepted(JOB_ID, accepted.version)
-        self.board.add_job(make_job(), Progress(self.state), progress.version, settled=True)
+        self.board.add_job(make_job(), Progress(self.state), progress.version, reconciled=True)
 
     async def store_job(self) -> None:
         """Store the job, its progress and the mark of a cancelling."""
@@ -216,7 +216,7 @@
     for _ in range(2):
         if told:
             rig.retention.note_accepted(JOB_ID, version)
-            rig.board.add_job(make_job(), Progress(), 0, settled=True)
+            rig.board.add_job(make_job(), Progress(), 0, reconciled=True)
         await rig.sweep(2 * RETENTION_S)
     assert rig.client.count() == 2
     assert (JOB_ID in rig.board.open_jobs) is told
--- a/tests/scheduling/test_pools_at_size.py
+++ b/tests/scheduling/test_pools_at_size.py
@@ -58,7 +58,7 @@
         job = make_job(
             Step(1, Resources(1000, 100)), job_id=f'{number:016x}', accepted_ms=accepted_ms
         )
-        rig.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, settled=True)
+        rig.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, reconciled=True)
     recalled: list[int] = []
 
     def note_job(job: past_load.Job) -> list[past_load.PastWork]:
--- a/tests/scheduling/test_surges_across_holders.py
+++ b/tests/scheduling/test_surges_across_holders.py
@@ -39,7 +39,7 @@
             job_id=f'{number:016x}',
             accepted_ms=NOW_MS - ago_ms,
         )
-        rig.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, settled=True)
+        rig.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, reconciled=True)
 
 
 @pytest.mark.parametrize(
