--- a/comfreywind/scheduling/reconciliation.py
+++ b/comfreywind/scheduling/reconciliation.py
@@ -69,7 +69,7 @@
             return
         self.done = True
         self._registry.forget_earlier()
-        self._state.settle(self._state.jobs.values())
+        self._state.mark_reconciled(self._state.jobs.values())
         log.info(
             'term %d: settled after %.2f s, %d targets not seen',
             self._term.epoch,
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -305,7 +305,7 @@
         if self.jobs.get(record.job.job_id) is record:
             self.changed_jobs[record.job.job_id] = record
 
-    def settle(self, records: Iterable[JobRecord]) -> None:
+    def mark_reconciled(self, records: Iterable[JobRecord]) -> None:
         """Allow starts of jobs whose runs under an earlier holder are all accounted for."""
         for record in records:
             record.reconciled = True
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -160,7 +160,7 @@
     rig.add_job(reconciled=False)
     assert not rig.plan()
     rig.report('t0', active=((KEY, 1),))
-    rig.board.settle(rig.board.jobs.values())
+    rig.board.mark_reconciled(rig.board.jobs.values())
     assert not rig.plan()
     assert rig.board.jobs[JOB_ID].runs[KEY].state is RunState.RUNNING
 
