--- a/comfreywind/scheduling/run_record.py
+++ b/comfreywind/scheduling/run_record.py
@@ -24,7 +24,7 @@
 class RunRecord:
     """A run on a target.
 
-    `settled_s` is when the last order about the run was answered: a report that was asked for later
+    `last_answer_s` is when the last order about the run was answered: a report that was asked for later
     shows the run if it is there. `ending` marks a run that an order of ours is about to end. `progressed_s` is when `percent`, the part of the
     task that is done, last rose.
     """
@@ -36,7 +36,7 @@
     room: Resources
     request: Resources
     state: RunState
-    settled_s: float
+    last_answer_s: float
     started_s: float
     stop_confirmed: bool = False
     checkpoint: str = ''
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -173,7 +173,7 @@
         if run is None:
             return []
         record = self.targets[order.target_id]
-        run.settled_s = now_s
+        run.last_answer_s = now_s
         next_state = STATE_BY_ANSWER.get(answer)
         if next_state is not None:
             run.state = next_state if run.state is RunState.STARTING else run.state
@@ -193,7 +193,7 @@
             return []
         if confirmed:
             run.stop_confirmed = True
-            run.settled_s = now_s
+            run.last_answer_s = now_s
             return []
         return [order]
 
@@ -233,7 +233,7 @@
         run.state = RunState.STOPPING
         run.ending = True
         run.at_work = False
-        run.settled_s = now_s
+        run.last_answer_s = now_s
         return [StopOrder(run.target_id, run.key, run.run_id)]
 
     def find_pool(self, record: JobRecord) -> str:
@@ -504,7 +504,7 @@
         """Settle runs that the report should show and does not."""
         orders: list[Order] = []
         for run in list(target.runs.values()):
-            if run.key in listed or run.settled_s >= asked_s:
+            if run.key in listed or run.last_answer_s >= asked_s:
                 continue
             orders.extend(self._settle_missing(run, now_s))
         return orders
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -81,7 +81,7 @@
     nursery.start_soon(link.run)
     await trio.sleep(0.5)
     (order,) = rig.plan()
-    rig.board.targets['t0'].runs[order.key].settled_s = float('inf')
+    rig.board.targets['t0'].runs[order.key].last_answer_s = float('inf')
     link.wake()
     return order
 
