--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -53,7 +53,7 @@
         self._wake = trio.Event()
         self._keeps_earlier = True
         self.earlier: frozenset[str] = frozenset()
-        self.earlier_known = True
+        self.earlier_targets_known = True
 
     async def load(self) -> None:
         """Read what earlier holders stored; raise StoreUnavailableError without an answer."""
@@ -115,7 +115,7 @@
         try:
             self.earlier = decode_registry(row.payload)
         except RowFormatError as error:
-            self.earlier_known = False
+            self.earlier_targets_known = False
             log.warning('starts of older jobs wait until all earlier runs have lapsed: %s', error)
 
 
