--- a/comfreywind/scheduling/reconciliation.py
+++ b/comfreywind/scheduling/reconciliation.py
@@ -70,7 +70,7 @@
             log.info('term %d: progress is not read again yet: %s', self._term.epoch, error)
             return
         self.done = True
-        self._registry.forget_earlier()
+        self._registry.drop_earlier_targets()
         self._state.mark_reconciled(self._state.jobs.values())
         log.info(
             'term %d: settled after %.2f s, %d targets not seen',
--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -59,7 +59,7 @@
         """Read what earlier holders stored; raise StoreUnavailableError without an answer."""
         self._take_earlier(await self._rows.read_row(TABLE_TERM, HOLDER_PART, REGISTRY_KEY))
 
-    def forget_earlier(self) -> None:
+    def drop_earlier_targets(self) -> None:
         """Drop targets of earlier holders once all that may run there is known."""
         self._keeps_earlier = False
 
