--- a/comfreywind/scheduling/reconciliation.py
+++ b/comfreywind/scheduling/reconciliation.py
@@ -59,7 +59,9 @@
         acknowledge them there. So the progress is read once more after that.
         """
         waited_s = self._clock.read_monotonic_s() - self._term.taken_s
-        unseen = [target_id for target_id in self._registry.earlier if self._is_unseen(target_id)]
+        unseen = [
+            target_id for target_id in self._registry.earlier_targets if self._is_unseen(target_id)
+        ]
         if not may_reconcile(
             len(unseen), self._registry.earlier_targets_known, waited_s, UNSEEN_LAPSE_S
         ):
--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -52,7 +52,7 @@
         self._written_s = float('-inf')
         self._wake = trio.Event()
         self._keeps_earlier = True
-        self.earlier: frozenset[str] = frozenset()
+        self.earlier_targets: frozenset[str] = frozenset()
         self.earlier_targets_known = True
 
     async def load(self) -> None:
@@ -86,7 +86,7 @@
         wanted = frozenset(
             target_id for target_id, record in self._state.targets.items() if _may_run(record)
         )
-        return wanted | self.earlier if self._keeps_earlier else wanted
+        return wanted | self.earlier_targets if self._keeps_earlier else wanted
 
     async def _write(self) -> bool:
         """Write the targets that may get runs; return whether the row names just them."""
@@ -113,7 +113,7 @@
     def _take_earlier(self, row: StoredRow) -> None:
         self._version = row.version
         try:
-            self.earlier = decode_registry(row.payload)
+            self.earlier_targets = decode_registry(row.payload)
         except RowFormatError as error:
             self.earlier_targets_known = False
             log.warning('starts of older jobs wait until all earlier runs have lapsed: %s', error)
