--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -118,7 +118,7 @@
             # Another plan would fail alike, and with it the starts of all other jobs.
             log.error('job %s is set aside', record.job.job_id)
             note_unexpected('planner', error, self._metrics)
-            self._state.set_aside(record, self._now_s)
+            self._state.suspend_job(record, self._now_s)
             return False
         return True
 
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -97,7 +97,7 @@
         self._closing.pop(job_id, None)
         self.orphan_cancels.discard(job_id)
 
-    def set_aside(self, record: JobRecord, planned_s: float) -> None:
+    def suspend_job(self, record: JobRecord, planned_s: float) -> None:
         """Start no more tasks of a job whose plan at that time failed; what runs of it runs on."""
         self.open_jobs.pop(record.job.job_id, None)
         for run in list(record.runs.values()):
