--- a/comfreywind/scheduling/progress_journal.py
+++ b/comfreywind/scheduling/progress_journal.py
@@ -53,7 +53,7 @@
             log.warning('progress of job %s is written anew: %s', row.key, error)
             self._state.mark_changed(record)
             return
-        self._state.join_progress(record, stored)
+        self._state.merge_progress(record, stored)
         if stored.state is JobState.CANCELLED:
             record.progress.state = JobState.CANCELLED
 
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -105,7 +105,7 @@
             if run.state is RunState.STARTING and run.started_s == planned_s:
                 self.forget_run(run)
 
-    def join_progress(self, record: JobRecord, stored: Progress) -> None:
+    def merge_progress(self, record: JobRecord, stored: Progress) -> None:
         """Take in what another holder, or a caller's cancelling, wrote of a job's progress."""
         record.join(stored)
         if record.open and stored.state.final:
