--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -60,7 +60,7 @@
             self.update_remaining()
         return True
 
-    def join(self, stored: Progress) -> None:
+    def merge(self, stored: Progress) -> None:
         """Take in ends and failures that the store holds; both only ever grow."""
         for occurrence, step, number in stored.done - self.progress.done:
             self.progress.done.add((occurrence, step, number))
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -107,7 +107,7 @@
 
     def merge_progress(self, record: JobRecord, stored: Progress) -> None:
         """Take in what another holder, or a caller's cancelling, wrote of a job's progress."""
-        record.join(stored)
+        record.merge(stored)
         if record.open and stored.state.final:
             log.info('job %s: %s by another node', record.job.job_id, stored.state)
             record.progress.state = stored.state
