--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -102,7 +102,7 @@
             frozenset((vm.rack,)),
             1,
         )
-        self._state.set_target(entry, self._now_s).in_registry = True
+        self._state.register_target(entry, self._now_s).in_registry = True
         vm.arrival_s = self._now_s
         self._report(vm)
 
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -310,7 +310,7 @@
         if entry is None:
             return
         if record is None or record.entry != entry or record.leaving:
-            record = self.board.set_target(entry, self._clock.read_monotonic_s())
+            record = self.board.register_target(entry, self._clock.read_monotonic_s())
             record.leaving = False
             self._wake.set()
         if row.key not in self._links:
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -113,7 +113,7 @@
             record.progress.state = stored.state
             self._close_job(record)
 
-    def set_target(self, entry: TargetEntry, now_s: float) -> TargetRecord:
+    def register_target(self, entry: TargetEntry, now_s: float) -> TargetRecord:
         """Take in a target's registration; a new life under the same id has no runs."""
         record = self.targets.get(entry.target_id)
         if record is None:
--- a/tests/helpers/board_rig.py
+++ b/tests/helpers/board_rig.py
@@ -48,7 +48,7 @@
         """Register a target and let it report that nothing runs."""
         address = Address('127.0.0.1', 1)
         entry = TargetEntry(name, POOL, address, 'dc', False, Resources(cpu, 10_000), labels, 1)
-        self.board.set_target(entry, self.now_s).in_registry = True
+        self.board.register_target(entry, self.now_s).in_registry = True
         self.report(name)
 
     def add_job(self, job: Job | None = None, reconciled: bool = True) -> Job:
