--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -135,9 +135,9 @@
         record.stored_number = 0
         record.acknowledged_number = 0
         record.failure_streak = 0
-        self.drop_runs(record, now_s)
+        self.requeue_runs(record, now_s)
 
-    def drop_runs(self, record: TargetRecord, now_s: float) -> None:
+    def requeue_runs(self, record: TargetRecord, now_s: float) -> None:
         """Requeue everything that ran on a target that certainly runs nothing any more."""
         for run in list(record.runs.values()):
             self.forget_run(run)
@@ -350,7 +350,7 @@
     def _note_refusal(self, record: TargetRecord, answer: StartAnswer, now_s: float) -> None:
         if answer is StartAnswer.REPLACED:
             record.leaving = True
-            self.drop_runs(record, now_s)
+            self.requeue_runs(record, now_s)
         bar_s = BAR_BY_ANSWER_S.get(answer, 0)
         record.barred_until_s = max(record.barred_until_s, now_s + bar_s)
 
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -84,7 +84,7 @@
         except TargetReplacedError as error:
             log.info('target %s: %s', target_id, error)
             self._record.leaving = True
-            self._state.drop_runs(self._record, self._clock.read_monotonic_s())
+            self._state.requeue_runs(self._record, self._clock.read_monotonic_s())
             self._publish([])
         finally:
             with trio.CancelScope(shield=True), trio.move_on_after(0.1):
@@ -210,7 +210,7 @@
             return True
         if record.runs:
             log.info('target %s: %d runs have lapsed', record.entry.target_id, len(record.runs))
-            self._state.drop_runs(record, now_s)
+            self._state.requeue_runs(record, now_s)
             self._publish([])
         return not record.leaving
 
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -170,7 +170,7 @@
     def _drop_target(self, target_id: str, now_s: float) -> None:
         record = self._state.targets.get(target_id)
         if record is not None and record.runs:
-            self._state.drop_runs(record, now_s)
+            self._state.requeue_runs(record, now_s)
             self._publish([])
         if record is not None:
             record.leaving = True
