--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -173,11 +173,11 @@
     def _start(self, order: StartOrder) -> None:
         vm = self._by_target[order.target_id]
         if vm.target_id != order.target_id or not vm.up:
-            self._state.note_start(order, StartAnswer.REPLACED, self._now_s)
+            self._state.apply_start_answer(order, StartAnswer.REPLACED, self._now_s)
             self._wake()
             return
         vm.runs[order.key] = order.run_id
-        self._state.note_start(order, StartAnswer.STARTED, self._now_s)
+        self._state.apply_start_answer(order, StartAnswer.STARTED, self._now_s)
         arrival = self._arrivals[order.key.job_id]
         work_s = arrival.durations_s[order.key.step][order.key.number]
         self._at(self._now_s + work_s, partial(self._end, vm, order.key, order.run_id))
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -167,7 +167,9 @@
         orders.extend(self._restart_stalled(record, now_s))
         return orders
 
-    def note_start(self, order: StartOrder, answer: StartAnswer, now_s: float) -> list[Order]:
+    def apply_start_answer(
+        self, order: StartOrder, answer: StartAnswer, now_s: float
+    ) -> list[Order]:
         """Take in the answer to a start."""
         run = self._find_run(order.target_id, order.key, order.run_id)
         if run is None:
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -111,7 +111,7 @@
     @_note_doubt.register
     def _note_start_doubt(self, order: StartOrder) -> list[Order]:
         now_s = self._clock.read_monotonic_s()
-        return self._state.note_start(order, StartAnswer.UNKNOWN, now_s)
+        return self._state.apply_start_answer(order, StartAnswer.UNKNOWN, now_s)
 
     @_note_doubt.register
     def _note_stop_doubt(self, order: StopOrder) -> list[Order]:
@@ -125,7 +125,7 @@
     async def _send_start(self, order: StartOrder) -> list[Order]:
         expires_ms = self._find_expiry_ms()
         if expires_ms is None or not self._keeper.is_valid():
-            return self._state.note_start(
+            return self._state.apply_start_answer(
                 order, StartAnswer.EXPIRED, self._clock.read_monotonic_s()
             )
         sent_s = self._clock.read_monotonic_s()
@@ -143,7 +143,7 @@
         if answer is StartAnswer.FENCED:
             self._keeper.depose(f'target {order.target_id} has a higher fence')
         self._wake.set()
-        return self._state.note_start(order, answer, self._clock.read_monotonic_s())
+        return self._state.apply_start_answer(order, answer, self._clock.read_monotonic_s())
 
     @_send.register
     async def _send_stop(self, order: StopOrder) -> list[Order]:
--- a/tests/helpers/board_rig.py
+++ b/tests/helpers/board_rig.py
@@ -70,7 +70,7 @@
 
     def answer(self, order: StartOrder, answer: StartAnswer) -> list[Order]:
         """Let a target answer a start."""
-        return self.board.note_start(order, answer, self.now_s)
+        return self.board.apply_start_answer(order, answer, self.now_s)
 
     def report(
         self,
