--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -188,7 +188,7 @@
         self.requeue(run.key)
         return []
 
-    def note_stop(self, order: StopOrder, confirmed: bool, now_s: float) -> list[Order]:
+    def apply_stop_answer(self, order: StopOrder, confirmed: bool, now_s: float) -> list[Order]:
         """Take in the answer to a stop; a stop without one is repeated."""
         run = self._find_run(order.target_id, order.key, order.run_id)
         if run is None:
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -115,7 +115,7 @@
 
     @_note_doubt.register
     def _note_stop_doubt(self, order: StopOrder) -> list[Order]:
-        return self._state.note_stop(order, False, self._clock.read_monotonic_s())
+        return self._state.apply_stop_answer(order, False, self._clock.read_monotonic_s())
 
     @singledispatchmethod
     async def _send(self, order: Order) -> list[Order]:
@@ -153,7 +153,7 @@
         if not confirmed:
             await trio.sleep(STOP_RETRY_S)
         self._wake.set()
-        return self._state.note_stop(order, confirmed, self._clock.read_monotonic_s())
+        return self._state.apply_stop_answer(order, confirmed, self._clock.read_monotonic_s())
 
     @_send.register
     async def _send_pace(self, order: PaceOrder) -> list[Order]:
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -138,7 +138,7 @@
     assert not rig.plan()
     rig.report('t0')
     assert not rig.plan()
-    rig.board.note_stop(stop, confirmed=True, now_s=rig.now_s)  # type: ignore[arg-type]
+    rig.board.apply_stop_answer(stop, confirmed=True, now_s=rig.now_s)  # type: ignore[arg-type]
     rig.report('t0')
     (again,) = rig.start()
     assert again.run_id == 2
@@ -151,7 +151,7 @@
     rig.start()
     rig.board.cancel_job(JOB_ID)
     (stop,) = rig.board.stop_closed_jobs(rig.now_s)
-    assert rig.board.note_stop(stop, confirmed=False, now_s=rig.now_s) == [stop]  # type: ignore[arg-type]
+    assert rig.board.apply_stop_answer(stop, confirmed=False, now_s=rig.now_s) == [stop]  # type: ignore[arg-type]
 
 
 def test_adopted_run() -> None:
