--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -35,7 +35,7 @@
         pasts: dict[str, list[PastWork]] = {}
         for record in self._state.jobs.values():
             if record.job.accepted_ms >= from_ms:
-                past = pasts.setdefault(self._state.find_pool(record), [])
+                past = pasts.setdefault(self._state.get_pool(record), [])
                 past.extend(list_past_work(record.job))
         sizes = self._find_vm_sizes(group_by_pool(self._state), pasts)
         for pool, works in pasts.items():
@@ -52,7 +52,7 @@
         self._seen_jobs_count = added_count
         records_by_pool: dict[str, list[JobRecord]] = {pool: [] for pool in self._trends}
         for record in new:
-            records_by_pool.setdefault(self._state.find_pool(record), []).append(record)
+            records_by_pool.setdefault(self._state.get_pool(record), []).append(record)
         sizes = self._find_vm_sizes(works, records_by_pool)
         for pool, records in records_by_pool.items():
             size = sizes[pool]
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -60,7 +60,7 @@
             if not self._try(record, partial(self._unlock_steps, record, now_ms)):
                 continue
             if record.waiting and record.reconciled:
-                waiting_by_pool.setdefault(self._state.find_pool(record), []).append(record)
+                waiting_by_pool.setdefault(self._state.get_pool(record), []).append(record)
         ready = self._list_ready(waiting_by_pool.keys(), now_s)
         for pool, records in waiting_by_pool.items():
             if ready[pool]:
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -61,7 +61,7 @@
         works.setdefault(target.entry.pool, PoolWork()).targets.append(target)
     for record in board.open_jobs.values():
         if record.waiting:
-            works.setdefault(board.find_pool(record), PoolWork()).waiting.append(record)
+            works.setdefault(board.get_pool(record), PoolWork()).waiting.append(record)
     return works
 
 
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -238,7 +238,7 @@
         run.last_answer_s = now_s
         return [StopOrder(run.target_id, run.key, run.run_id)]
 
-    def find_pool(self, record: JobRecord) -> str:
+    def get_pool(self, record: JobRecord) -> str:
         """Return the pool that runs the job by the rules in force."""
         queue = self.rules.queues.get(record.job.queue.name, record.job.queue)
         return queue.pool
