--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -265,7 +265,7 @@
         }
         return [self._read_step_health(*step) for step in steps]
 
-    def note_order(self, target: TargetRecord) -> None:
+    def apply_vm_order(self, target: TargetRecord) -> None:
         """Count what runs on the target as away, because the VM is ordered down or elsewhere."""
         target.emptying = True
         for run in target.runs.values():
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -284,7 +284,7 @@
         now_s = self._clock.read_monotonic_s()
         record = self._state.targets.get(vm.target_id)
         if record is not None:
-            self._state.note_order(record)
+            self._state.apply_vm_order(record)
         order = orders.setdefault(vm.name, VmOrder(vm.name, vm.target_id, now_s))
         order.sent_s = now_s
         answer = await self._vm_client.maintain(vm.name, wave.wave, self._node, self._term.epoch)
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -245,7 +245,7 @@
     for order in (first, second):
         rig.report(order.target_id, active=((order.key, order.run_id),))
     board = rig.board
-    board.note_order(board.targets[first.target_id])
+    board.apply_vm_order(board.targets[first.target_id])
     rig.report(first.target_id, active=((first.key, first.run_id),))
     (health,) = board.list_step_health(board.targets[second.target_id])
     assert health.away == 1
