--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -112,7 +112,7 @@
     def _release(self, target_id: str) -> None:
         record = self._state.targets.get(target_id)
         if record is not None:
-            self._state.take_back_order(record)
+            self._state.revert_vm_order(record)
 
     def _group_by_pool(self, vms: Mapping[str, Vm]) -> dict[str, PoolWork]:
         works = group_by_pool(self._state)
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -272,7 +272,7 @@
             run.ending = True
             run.at_work = False
 
-    def take_back_order(self, target: TargetRecord) -> None:
+    def revert_vm_order(self, target: TargetRecord) -> None:
         """Let the target work on, because what was ordered for its VM is not carried out."""
         target.emptying = False
         for run in target.runs.values():
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -179,7 +179,7 @@
         record = self._state.targets.get(target_id)
         if record is not None:
             record.due = False
-            self._state.take_back_order(record)
+            self._state.revert_vm_order(record)
         self._emptying_since_s.pop(target_id, None)
 
     async def _empty_and_order(
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -249,7 +249,7 @@
     rig.report(first.target_id, active=((first.key, first.run_id),))
     (health,) = board.list_step_health(board.targets[second.target_id])
     assert health.away == 1
-    board.take_back_order(board.targets[first.target_id])
+    board.revert_vm_order(board.targets[first.target_id])
     rig.report(first.target_id, active=((first.key, first.run_id),))
     (health,) = board.list_step_health(board.targets[second.target_id])
     assert health.away == 0
