--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -278,7 +278,7 @@
         for run in target.runs.values():
             run.ending = run.state is RunState.STOPPING
 
-    def evict_crowded(self, target: TargetRecord, now_s: float) -> list[Order]:
+    def evict_colocated(self, target: TargetRecord, now_s: float) -> list[Order]:
         """Return stops of lasting tasks that keep a VM from going down, one of each step.
 
         A VM with more tasks of a step than may be away can't go down at once with all of them.
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -247,7 +247,7 @@
     def _evict(self, vm: Vm, now_s: float) -> None:
         record = self._state.targets.get(vm.target_id)
         if record is not None and self._keeper.is_valid():
-            self._publish(self._state.evict_crowded(record, now_s))
+            self._publish(self._state.evict_colocated(record, now_s))
 
     def _start_emptying(self, vm: Vm, now_s: float) -> None:
         record = self._state.targets.get(vm.target_id)
