--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -155,7 +155,7 @@
     def _plan(self) -> None:
         self._plan_due = False
         orders = self._planner.plan(self._now_s, self._now_s * MS_PER_S)
-        self._state.take_changed()
+        self._state.pop_changed_jobs()
         self._send(orders)
 
     def _send(self, orders: Iterable[Order]) -> None:
--- a/comfreywind/scheduling/progress_journal.py
+++ b/comfreywind/scheduling/progress_journal.py
@@ -72,7 +72,7 @@
         applied = {
             target_id: target.applied_number for target_id, target in self._state.targets.items()
         }
-        changed = self._state.take_changed()
+        changed = self._state.pop_changed_jobs()
         try:
             stored = await self._store_parts(changed)
         except Exception:
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -296,7 +296,7 @@
                 orders.extend(self.stop_run(run, now_s))
         return orders
 
-    def take_changed(self) -> list[JobRecord]:
+    def pop_changed_jobs(self) -> list[JobRecord]:
         """Return the jobs whose progress has changed since the last call."""
         changed = list(self.changed_jobs.values())
         self.changed_jobs.clear()
