--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -188,7 +188,7 @@
         """Undo starts that were not sent."""
         for order in orders:
             record.last_run_ids[order.key] = order.run_id - 1
-            self._state.forget_run(record.runs[order.key])
+            self._state.discard_run(record.runs[order.key])
             self._state.requeue(order.key)
             self._note_room(order.target_id)
 
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -103,7 +103,7 @@
         for run in list(record.runs.values()):
             # The orders of the failed plan are not sent.
             if run.state is RunState.STARTING and run.started_s == planned_s:
-                self.forget_run(run)
+                self.discard_run(run)
 
     def merge_progress(self, record: JobRecord, stored: Progress) -> None:
         """Take in what another holder, or a caller's cancelling, wrote of a job's progress."""
@@ -140,7 +140,7 @@
     def requeue_runs(self, record: TargetRecord, now_s: float) -> None:
         """Requeue everything that ran on a target that certainly runs nothing any more."""
         for run in list(record.runs.values()):
-            self.forget_run(run)
+            self.discard_run(run)
             self.requeue(run.key)
         record.used = NO_RESOURCES
 
@@ -184,7 +184,7 @@
             return []
         log.info('task %s run %d: %s on %s', run.key, run.run_id, answer, order.target_id)
         self._note_refusal(record, answer, now_s)
-        self.forget_run(run)
+        self.discard_run(run)
         self.requeue(run.key)
         return []
 
@@ -318,7 +318,7 @@
         if record is not None:
             record.runs[run.key] = run
 
-    def forget_run(self, run: RunRecord) -> None:
+    def discard_run(self, run: RunRecord) -> None:
         target = self.targets.get(run.target_id)
         if target is None or target.runs.get(run.key) is not run:
             return
@@ -373,7 +373,7 @@
         record = self.jobs.get(ended.key.job_id)
         if run is not None and run.run_id == ended.run_id:
             run.checkpoint = ended.checkpoint or run.checkpoint
-            self.forget_run(run)
+            self.discard_run(run)
         if record is None:
             return
         if not record.has_task(ended.key):
@@ -517,7 +517,7 @@
             return self.stop_run(run, now_s)
         if run.state is RunState.RUNNING or run.stop_confirmed:
             log.info('task %s run %d is gone from %s', run.key, run.run_id, run.target_id)
-            self.forget_run(run)
+            self.discard_run(run)
             self.requeue(run.key)
         return []
 
