--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -292,7 +292,7 @@
         team = self._state.rules.teams.get(team_name)
         if team is None:
             return True
-        total = self._state.team_use.get(team_name, NO_RESOURCES).add(request)
+        total = self._state.team_usage.get(team_name, NO_RESOURCES).add(request)
         return total.is_within(team.ceiling)
 
     def _narrow_to_rack(
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -58,7 +58,7 @@
         self.jobs: dict[str, JobRecord] = {}
         self.open_jobs: dict[str, JobRecord] = {}
         self.targets: dict[str, TargetRecord] = {}
-        self.team_use: dict[str, Resources] = {}
+        self.team_usage: dict[str, Resources] = {}
         self.changed_jobs: dict[str, JobRecord] = {}
         self.orphan_cancels: set[str] = set()
         self.added_jobs_count = 0
@@ -314,7 +314,7 @@
 
     def add_run(self, run: RunRecord, record: JobRecord | None) -> None:
         self.targets[run.target_id].add_run(run)
-        self.team_use[run.team] = self.team_use.get(run.team, NO_RESOURCES).add(run.request)
+        self.team_usage[run.team] = self.team_usage.get(run.team, NO_RESOURCES).add(run.request)
         if record is not None:
             record.runs[run.key] = run
 
@@ -323,7 +323,7 @@
         if target is None or target.runs.get(run.key) is not run:
             return
         target.remove_run(run)
-        self.team_use[run.team] = self.team_use[run.team].subtract(run.request)
+        self.team_usage[run.team] = self.team_usage[run.team].subtract(run.request)
         record = self.jobs.get(run.key.job_id)
         if record is not None and record.runs.get(run.key) is run:
             del record.runs[run.key]
