--- a/comfreywind/scheduling/advice_keeper.py
+++ b/comfreywind/scheduling/advice_keeper.py
@@ -31,7 +31,7 @@
     async def run(self) -> None:
         """Ask until cancelled."""
         while True:
-            question = self._planner.find_question(self._clock.read_monotonic_s())
+            question = self._planner.select_question(self._clock.read_monotonic_s())
             if question is None:
                 await trio.sleep(IDLE_S)
                 continue
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -67,7 +67,7 @@
                 orders.extend(self._plan_pool(ready[pool], records, now_ms))
         return orders
 
-    def find_question(self, now_s: float) -> AdviceQuestion | None:
+    def select_question(self, now_s: float) -> AdviceQuestion | None:
         """Return the first question that the last plan had to leave open."""
         for question in self._questions:
             advice = self._advice.get((question.job_id, question.occurrence, question.step))
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -309,7 +309,7 @@
     queue = replace(QUEUE, advice_validity_ms=3000)
     rig.add_job(make_job(queue=queue))
     assert not rig.plan()
-    question = rig.planner.find_question(rig.now_s)
+    question = rig.planner.select_question(rig.now_s)
     assert question is not None
     assert question.target_ids == ('t0', 't1')
     rig.planner.note_advice(question, {'t1': 'ticket-1'}, rig.now_s)
