--- a/comfreywind/scheduling/advice_keeper.py
+++ b/comfreywind/scheduling/advice_keeper.py
@@ -42,6 +42,6 @@
                 log.info('%s', error)
                 await trio.sleep(RETRY_S)
                 continue
-            self._planner.note_advice(question, tickets, asked_s)
+            self._planner.record_advice(question, tickets, asked_s)
             log.info('step %s: %d targets approved', question.step_id, len(tickets))
             self._wake()
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -75,7 +75,7 @@
                 return question
         return None
 
-    def note_advice(
+    def record_advice(
         self, question: AdviceQuestion, tickets: dict[str, str], asked_s: float
     ) -> None:
         """Take in an answer; the tickets count from the question, as the service may have."""
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -312,10 +312,10 @@
     question = rig.planner.select_question(rig.now_s)
     assert question is not None
     assert question.target_ids == ('t0', 't1')
-    rig.planner.note_advice(question, {'t1': 'ticket-1'}, rig.now_s)
+    rig.planner.record_advice(question, {'t1': 'ticket-1'}, rig.now_s)
     rig.now_s += 3
     assert not rig.plan()
-    rig.planner.note_advice(question, {'t1': 'ticket-2'}, rig.now_s)
+    rig.planner.record_advice(question, {'t1': 'ticket-2'}, rig.now_s)
     (order,) = rig.start()
     assert (order.target_id, order.ticket) == ('t1', 'ticket-2')
 
