--- a/comfreywind/node/run.py
+++ b/comfreywind/node/run.py
@@ -128,7 +128,7 @@
                 await self._hold_term(term, holder)
             except Exception:
                 # Another holder of the same term would give out its run ids again.
-                self._keeper.depose('unexpected error')
+                self._keeper.step_down('unexpected error')
                 raise
 
     async def _hold_term(self, term: HeldTerm, holder: Holder) -> None:
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -141,7 +141,7 @@
         self._metrics.record_duration('starts', self._clock.read_monotonic_s() - sent_s)
         self._metrics.count(f'starts.{answer.value}')
         if answer is StartAnswer.FENCED:
-            self._keeper.depose(f'target {order.target_id} has a higher fence')
+            self._keeper.step_down(f'target {order.target_id} has a higher fence')
         self._wake.set()
         return self._state.apply_start_answer(order, answer, self._clock.read_monotonic_s())
 
@@ -182,7 +182,7 @@
             return True
         self._record.acknowledged_number = acknowledged
         if report is None:
-            self._keeper.depose(f'target {self._record.entry.target_id} has a higher fence')
+            self._keeper.step_down(f'target {self._record.entry.target_id} has a higher fence')
             return False
         try:
             self._note_report(report, asked_s)
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -113,7 +113,7 @@
             if await self._write_release(held.epoch):
                 return
 
-    def depose(self, reason: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Note that another holder has given orders with a higher fence."""
         if self._held is not None:
             self._lose(reason)
--- a/tests/scheduling/test_term_keeper.py
+++ b/tests/scheduling/test_term_keeper.py
@@ -95,7 +95,7 @@
         await wait_until_held(keeper)
         rows.answer_after_s = 0.2
         await rows.wait_for_commit()
-        keeper.depose('a target has a higher fence')
+        keeper.step_down('a target has a higher fence')
         await trio.sleep(0.3)
         assert keeper.held is None
         nursery.cancel_scope.cancel()
