--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -287,7 +287,7 @@
             self._retention.note_ended(row.key, row.version, version)
             return
         new = row.version > self._term.taken_version
-        self._retention.note_accepted(row.key, row.version)
+        self._retention.record_accepted(row.key, row.version)
         self.board.add_job(accepted, progress, version, reconciled=new or self._settlement.done)
         self._wake.set()
 
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -63,7 +63,7 @@
         self._ended_s: dict[str, float] = {}
         self._removals: dict[str, Removal] = {}
 
-    def note_accepted(self, job_id: str, version: int) -> None:
+    def record_accepted(self, job_id: str, version: int) -> None:
         """Note the version of an accepted job; another one means that the id is used anew."""
         if version > self._versions.get(job_id, version):
             self._drop(job_id)
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -107,7 +107,7 @@
         if isinstance(decode_accepted(accepted.payload), EndedJob):
             self.retention.note_ended(JOB_ID, accepted.version, progress.version)
             return
-        self.retention.note_accepted(JOB_ID, accepted.version)
+        self.retention.record_accepted(JOB_ID, accepted.version)
         self.board.add_job(make_job(), Progress(self.state), progress.version, reconciled=True)
 
     async def store_job(self) -> None:
@@ -215,7 +215,7 @@
     await rig.rows.commit(find_progress_part(JOB_ID), [change])
     for _ in range(2):
         if told:
-            rig.retention.note_accepted(JOB_ID, version)
+            rig.retention.record_accepted(JOB_ID, version)
             rig.board.add_job(make_job(), Progress(), 0, reconciled=True)
         await rig.sweep(2 * RETENTION_S)
     assert rig.client.count() == 2
