--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -284,7 +284,7 @@
         # A job has no progress row before its first change.
         progress, version = self._old_progress.pop(row.key, (Progress(), 0))
         if isinstance(accepted, EndedJob):
-            self._retention.note_ended(row.key, row.version, version)
+            self._retention.record_tombstone(row.key, row.version, version)
             return
         new = row.version > self._term.taken_version
         self._retention.record_accepted(row.key, row.version)
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -70,7 +70,7 @@
         self._removals.pop(job_id, None)
         self._versions[job_id] = version
 
-    def note_ended(self, job_id: str, version: int, progress_version: int) -> None:
+    def record_tombstone(self, job_id: str, version: int, progress_version: int) -> None:
         """Note that a tombstone stands for the job; its progress was last seen at the version."""
         record = self._state.jobs.get(job_id)
         if record is not None:
@@ -148,14 +148,14 @@
                 self._note_replaced(row)
             return
         for record in records:
-            self.note_ended(record.job.job_id, version, record.progress_version)
+            self.record_tombstone(record.job.job_id, version, record.progress_version)
 
     def _note_replaced(self, row: StoredRow) -> None:
         """Take in a row that this holder has changed without having got an answer."""
         if row.payload is None:
             self.note_removed(row.key)
         elif _is_tombstone(row.payload):
-            self.note_ended(row.key, row.version, 0)
+            self.record_tombstone(row.key, row.version, 0)
 
     async def _clear(self, part: str, job_ids: Sequence[str]) -> None:
         """Remove progress and marks of jobs for which a tombstone stands."""
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -105,7 +105,7 @@
         if accepted.payload is None:
             return
         if isinstance(decode_accepted(accepted.payload), EndedJob):
-            self.retention.note_ended(JOB_ID, accepted.version, progress.version)
+            self.retention.record_tombstone(JOB_ID, accepted.version, progress.version)
             return
         self.retention.record_accepted(JOB_ID, accepted.version)
         self.board.add_job(make_job(), Progress(self.state), progress.version, reconciled=True)
