--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -268,7 +268,7 @@
 
     def _take_intake(self, row: StoredRow) -> None:
         if row.payload is None:
-            self._retention.note_removed(row.key)
+            self._retention.record_removed(row.key)
             return
         if row.key.endswith(CANCEL_SUFFIX):
             self.board.cancel_job(row.key.removesuffix(CANCEL_SUFFIX))
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -78,7 +78,7 @@
             self._drop(job_id)
         self._removals.setdefault(job_id, Removal(job_id, version, progress_version))
 
-    def note_removed(self, job_id: str) -> None:
+    def record_removed(self, job_id: str) -> None:
         """Note that the store no longer has the job."""
         self._removals.pop(job_id, None)
         self._drop(job_id)
@@ -153,7 +153,7 @@
     def _note_replaced(self, row: StoredRow) -> None:
         """Take in a row that this holder has changed without having got an answer."""
         if row.payload is None:
-            self.note_removed(row.key)
+            self.record_removed(row.key)
         elif _is_tombstone(row.payload):
             self.record_tombstone(row.key, row.version, 0)
 
