--- a/comfreywind/scheduling/rules_follower.py
+++ b/comfreywind/scheduling/rules_follower.py
@@ -44,7 +44,7 @@
             return False
         return self._clock.read_monotonic_s() - confirmed_s < STALE_S
 
-    def find_wave_end_s(self, wave: int) -> float:
+    def get_wave_end_s(self, wave: int) -> float:
         """Return when the wave should be complete, by the time this node first saw it."""
         return self._wave_end_s[wave]
 
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -192,7 +192,7 @@
         room = max(0, wave.limit - len(orders.keys() | others))
         for chosen in choose_emptying(standings, self._count_pools(), room):
             self._start_emptying(self._watch.vms[chosen.name], now_s)
-        left_s = self._rules.find_wave_end_s(wave.wave) - now_s
+        left_s = self._rules.get_wave_end_s(wave.wave) - now_s
         repeated = [
             order.vm
             for order in orders.values()
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_upkeep_rounds.py
@@ -62,7 +62,7 @@
         wave = UpkeepWave(1, tuple(names[:VMS]), VMS, 60)
         self.waves = {1: wave}
 
-    def find_wave_end_s(self, wave: int) -> float:
+    def get_wave_end_s(self, wave: int) -> float:
         """Return a time that is far away."""
         return float('inf')
 
