--- a/comfreywind/scheduling/reconciliation.py
+++ b/comfreywind/scheduling/reconciliation.py
@@ -13,7 +13,7 @@
 from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.progress_journal import ProgressJournal
 from comfreywind.scheduling.target_registry import TargetRegistry
-from comfreywind.scheduling.target_link import UNSEEN_LAPSE_S
+from comfreywind.scheduling.target_link import EARLIER_RUNS_LAPSE_S
 from comfreywind.scheduling.term_keeper import HeldTerm
 
 # Well under the answer of a calm store, so that looking adds nothing to a change of the holder.
@@ -63,7 +63,7 @@
             target_id for target_id in self._registry.earlier_targets if self._is_unseen(target_id)
         ]
         if not may_reconcile(
-            len(unseen), self._registry.earlier_targets_known, waited_s, UNSEEN_LAPSE_S
+            len(unseen), self._registry.earlier_targets_known, waited_s, EARLIER_RUNS_LAPSE_S
         ):
             return
         try:
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -27,7 +27,7 @@
 CLOCK_DRIFT_RATIO = 1.02
 LEASE_MARGIN_S = 0.4
 # After this time every run of an earlier holder has lapsed.
-UNSEEN_LAPSE_S = RUN_LEASE_S * CLOCK_DRIFT_RATIO + LEASE_MARGIN_S + 0.1
+EARLIER_RUNS_LAPSE_S = RUN_LEASE_S * CLOCK_DRIFT_RATIO + LEASE_MARGIN_S + 0.1
 LONGEST_WAIT_S = 1.0
 # For a target with orders whose outcome only its lists show.
 UNSETTLED_WAIT_S = 0.2
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -28,7 +28,7 @@
 from comfreywind.scheduling.order_turns import OrderTurns
 from comfreywind.scheduling.orders import Order
 from comfreywind.scheduling.rules_follower import RulesFollower
-from comfreywind.scheduling.target_link import UNSEEN_LAPSE_S
+from comfreywind.scheduling.target_link import EARLIER_RUNS_LAPSE_S
 from comfreywind.scheduling.target_record import TargetRecord
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
 from comfreywind.scheduling.upkeep_row import UPKEEP_KEY, decode_upkeep, encode_upkeep
@@ -276,7 +276,7 @@
         """Return whether the target may have runs of an earlier holder that are not known here."""
         if record is None or record.reported:
             return False
-        return now_s - self._term.taken_s < UNSEEN_LAPSE_S
+        return now_s - self._term.taken_s < EARLIER_RUNS_LAPSE_S
 
     async def _order(self, wave: UpkeepWave, vm: Vm, orders: dict[str, VmOrder]) -> None:
         if not (self._keeper.is_valid() and self._turns.may_send(vm.name)):
