--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -42,7 +42,7 @@
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.scheduling.rules_follower import RulesFollower
 from comfreywind.scheduling.reconciliation import Reconciliation
-from comfreywind.scheduling.target_link import LONGEST_WAIT_S, TargetLink
+from comfreywind.scheduling.target_link import MAX_HOLD_WAIT_S, TargetLink
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
 from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
@@ -322,7 +322,7 @@
             return
         link = TargetLink(
             record,
-            TargetClient(target_id, record.entry.address, LONGEST_WAIT_S, self._may_order),
+            TargetClient(target_id, record.entry.address, MAX_HOLD_WAIT_S, self._may_order),
             self.board,
             self.journal,
             self._keeper,
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -28,7 +28,7 @@
 LEASE_MARGIN_S = 0.4
 # After this time every run of an earlier holder has lapsed.
 EARLIER_RUNS_LAPSE_S = RUN_LEASE_S * CLOCK_DRIFT_RATIO + LEASE_MARGIN_S + 0.1
-LONGEST_WAIT_S = 1.0
+MAX_HOLD_WAIT_S = 1.0
 # For a target with orders whose outcome only its lists show.
 UNSETTLED_WAIT_S = 0.2
 # A list is answered early when a run ends, not when a lasting task begins to serve; until then no
@@ -241,7 +241,7 @@
             return int(UNSETTLED_WAIT_S * MS_PER_S)
         if any(run.lasting and not run.at_work for run in record.runs.values()):
             return int(WARM_UP_WAIT_S * MS_PER_S)
-        return int(LONGEST_WAIT_S * MS_PER_S)
+        return int(MAX_HOLD_WAIT_S * MS_PER_S)
 
     def _find_expiry_ms(self) -> int | None:
         """Return the end of a full lease on the target's clock and note when it has lapsed."""
--- a/tests/field_faults/test_silent_target.py
+++ b/tests/field_faults/test_silent_target.py
@@ -13,7 +13,7 @@
 from comfreywind.errors import TargetSilentError
 from comfreywind.jobs.run_report import ActiveRun, TargetReport
 from comfreywind.platform.target_client import HOLD_MARGIN_S
-from comfreywind.scheduling.target_link import LONGEST_WAIT_S
+from comfreywind.scheduling.target_link import MAX_HOLD_WAIT_S
 from tests.helpers.board_rig import BoardRig
 from tests.scheduling.test_target_link import make_link
 
@@ -40,12 +40,12 @@
         self._note_lapse()
         begin_s, end_s = self._silent_s
         if begin_s <= trio.current_time() - self._started_s < end_s:
-            await self._give_up_after(LONGEST_WAIT_S + HOLD_MARGIN_S)
+            await self._give_up_after(MAX_HOLD_WAIT_S + HOLD_MARGIN_S)
         answer_s = wait_ms / MS_PER_S + self._delay_s
         if expires_ms is not None and not self.lapsed:
             self.lease_end_s = max(self.lease_end_s, expires_ms / MS_PER_S)
-        if answer_s > LONGEST_WAIT_S + HOLD_MARGIN_S:
-            await self._give_up_after(LONGEST_WAIT_S + HOLD_MARGIN_S)
+        if answer_s > MAX_HOLD_WAIT_S + HOLD_MARGIN_S:
+            await self._give_up_after(MAX_HOLD_WAIT_S + HOLD_MARGIN_S)
         await trio.sleep(answer_s)
         self._note_lapse()
         active = ActiveRun(self.order.key, self.order.run_id, '', 50, 0)
