--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -346,7 +346,7 @@
     async def _tick(self) -> None:
         while True:
             await trio.sleep(TICK_S)
-            self._keeper.own_pending = self.board.count_pending()
+            self._keeper.published_pending = self.board.count_pending()
             self._wake.set()
 
     async def _note_levels(self) -> None:
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -67,7 +67,7 @@
         self._held: HeldTerm | None = None
         self._change = trio.Event()
         self._stopping = False
-        self.own_pending: dict[str, int] = {}
+        self.published_pending: dict[str, int] = {}
         self.own_refused: dict[str, float] = {}
 
     @property
@@ -186,7 +186,7 @@
             self._seen_row.renewal + 1,
             term_s=self._next_term_s,
             renewed_ms=0 if store_time is None else store_time.find_latest_ms(sent_s),
-            pending=self.own_pending,
+            pending=self.published_pending,
             refused=self.own_refused,
             started_ms=self._find_start_ms(),
         )
