--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -354,7 +354,7 @@
             record.leaving = True
             self.requeue_runs(record, now_s)
         bar_s = BAR_BY_ANSWER_S.get(answer, 0)
-        record.barred_until_s = max(record.barred_until_s, now_s + bar_s)
+        record.cooldown_until_s = max(record.cooldown_until_s, now_s + bar_s)
 
     def _find_run(self, target_id: str, key: TaskKey, run_id: int) -> RunRecord | None:
         target = self.targets.get(target_id)
@@ -417,7 +417,7 @@
         target.failure_streak += 1
         record.failed_on.setdefault(key, set()).add(target.entry.target_id)
         if target.failure_streak >= FAILURE_STREAK_LIMIT:
-            target.barred_until_s = now_s + BAR_AFTER_FAILURES_S
+            target.cooldown_until_s = now_s + BAR_AFTER_FAILURES_S
         task = (key.occurrence, key.step, record.list_represented(key)[0].number)
         failed_runs = record.progress.failures.get(task, set()) | {ended.run_id}
         log.info(
@@ -488,7 +488,7 @@
                 log.info('task %s: stands still on %s', run.key, target.entry.target_id)
                 stopped.extend(self.stop_run(run, now_s))
         if stopped:
-            target.barred_until_s = max(target.barred_until_s, now_s + BAR_WHEN_STALLED_S)
+            target.cooldown_until_s = max(target.cooldown_until_s, now_s + BAR_WHEN_STALLED_S)
         return stopped
 
     def _may_restart(self, key: TaskKey) -> bool:
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -31,7 +31,7 @@
     due: bool = False
     silent: bool = False
     lease_end_s: float = 0
-    barred_until_s: float = 0
+    cooldown_until_s: float = 0
     failure_streak: int = 0
     leaving: bool = False
     emptying: bool = False
@@ -52,7 +52,7 @@
         # After a row of failures one task shows whether the target works again.
         short_runs = not all(run.lasting for run in self.runs.values())
         probing = self.failure_streak > 1 and short_runs
-        return not (unavailable or unheard or probing) and now_s >= self.barred_until_s
+        return not (unavailable or unheard or probing) and now_s >= self.cooldown_until_s
 
     def add_run(self, run: RunRecord) -> None:
         """Count a run against the room."""
