--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -134,7 +134,7 @@
         record.applied_number = 0
         record.stored_number = 0
         record.acknowledged_number = 0
-        record.failure_streak = 0
+        record.consecutive_failures = 0
         self.requeue_runs(record, now_s)
 
     def requeue_runs(self, record: TargetRecord, now_s: float) -> None:
@@ -388,7 +388,7 @@
     ) -> None:
         lasting = record.job.steps[ended.key.step].lasting
         if ended.outcome is RunOutcome.DONE and not lasting:
-            target.failure_streak = 0
+            target.consecutive_failures = 0
             for key in record.list_represented(ended.key):
                 if record.note_done(key):
                     self._note_done(record, key)
@@ -414,9 +414,9 @@
         self, record: JobRecord, target: TargetRecord, ended: EndedRun, now_s: float
     ) -> None:
         key = ended.key
-        target.failure_streak += 1
+        target.consecutive_failures += 1
         record.failed_on.setdefault(key, set()).add(target.entry.target_id)
-        if target.failure_streak >= FAILURE_STREAK_LIMIT:
+        if target.consecutive_failures >= FAILURE_STREAK_LIMIT:
             target.cooldown_until_s = now_s + BAR_AFTER_FAILURES_S
         task = (key.occurrence, key.step, record.list_represented(key)[0].number)
         failed_runs = record.progress.failures.get(task, set()) | {ended.run_id}
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -32,7 +32,7 @@
     silent: bool = False
     lease_end_s: float = 0
     cooldown_until_s: float = 0
-    failure_streak: int = 0
+    consecutive_failures: int = 0
     leaving: bool = False
     emptying: bool = False
 
@@ -51,7 +51,7 @@
         unheard = self.silent or not self.reported
         # After a row of failures one task shows whether the target works again.
         short_runs = not all(run.lasting for run in self.runs.values())
-        probing = self.failure_streak > 1 and short_runs
+        probing = self.consecutive_failures > 1 and short_runs
         return not (unavailable or unheard or probing) and now_s >= self.cooldown_until_s
 
     def add_run(self, run: RunRecord) -> None:
