--- a/comfreywind/scheduling/run_record.py
+++ b/comfreywind/scheduling/run_record.py
@@ -33,7 +33,7 @@
     run_id: int
     target_id: str
     team: str
-    room: Resources
+    reserved: Resources
     request: Resources
     state: RunState
     last_answer_s: float
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -57,10 +57,10 @@
     def add_run(self, run: RunRecord) -> None:
         """Count a run against the room."""
         self.runs[run.key] = run
-        self.used = self.used.add(run.room)
+        self.used = self.used.add(run.reserved)
 
     def remove_run(self, run: RunRecord) -> None:
         """Free the room of a run."""
         if self.runs.get(run.key) is run:
             del self.runs[run.key]
-            self.used = self.used.subtract(run.room)
+            self.used = self.used.subtract(run.reserved)
