--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -47,7 +47,7 @@
         """Return whether work may still be started."""
         return not self.progress.state.final
 
-    def note_done(self, key: TaskKey) -> bool:
+    def mark_done(self, key: TaskKey) -> bool:
         """Count a task as done; return False when it was done before."""
         task = (key.occurrence, key.step, key.number)
         if task in self.progress.done:
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -390,7 +390,7 @@
         if ended.outcome is RunOutcome.DONE and not lasting:
             target.consecutive_failures = 0
             for key in record.list_represented(ended.key):
-                if record.note_done(key):
+                if record.mark_done(key):
                     self._note_done(record, key)
         elif ended.outcome is RunOutcome.FAILED:
             self._note_failure(record, target, ended, now_s)
