--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -133,7 +133,7 @@
             return ''
         return self.progress.checkpoints.get(self._name_checkpoint(key), '')
 
-    def note_checkpoint(self, key: TaskKey, checkpoint: str) -> None:
+    def record_checkpoint(self, key: TaskKey, checkpoint: str) -> None:
         """Keep the checkpoint of a run that has ended."""
         if checkpoint and self.job.steps[key.step].checkpointing:
             self.progress.checkpoints[self._name_checkpoint(key)] = checkpoint
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -327,7 +327,7 @@
         record = self.jobs.get(run.key.job_id)
         if record is not None and record.runs.get(run.key) is run:
             del record.runs[run.key]
-            record.note_checkpoint(run.key, run.checkpoint)
+            record.record_checkpoint(run.key, run.checkpoint)
 
     def requeue(self, key: TaskKey) -> None:
         record = self.jobs.get(key.job_id)
