--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -126,7 +126,7 @@
             if (key.occurrence, key.step) in waiting and self.job.steps[key.step].gang
         ]
 
-    def find_checkpoint(self, key: TaskKey) -> str:
+    def get_checkpoint(self, key: TaskKey) -> str:
         """Return the checkpoint that a start carries; the members of a gang share one."""
         step = self.job.steps[key.step]
         if not step.checkpointing:
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -217,7 +217,7 @@
             key,
             run_id,
             record.job.spec,
-            record.find_checkpoint(key),
+            record.get_checkpoint(key),
             '' if advice is None else advice.tickets.get(room.target_id, ''),
         )
 
