--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -93,7 +93,7 @@
         """Return whether all tasks of all occurrences are done."""
         return not any(self.left_in_step.values())
 
-    def find_unlocked(self, now_ms: float) -> list[tuple[int, int]]:
+    def list_unlockable(self, now_ms: float) -> list[tuple[int, int]]:
         """Return the steps whose turn has come and whose tasks are not yet in `waiting`."""
         unlocked: list[tuple[int, int]] = []
         if not self.unlock_due:
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -282,7 +282,7 @@
         return NO_TARGETS if self._now_s >= advice.valid_until_s else advice.tickets.keys()
 
     def _unlock_steps(self, record: JobRecord, now_ms: float) -> None:
-        for step_key in record.find_unlocked(now_ms):
+        for step_key in record.list_unlockable(now_ms):
             record.unlocked.add(step_key)
             occurrence, number = step_key
             for index in range(record.job.steps[number].task_count):
