--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -110,7 +110,7 @@
                 unlocked.append(step_key)
         return unlocked
 
-    def list_represented(self, key: TaskKey) -> list[TaskKey]:
+    def list_tasks_sharing_end(self, key: TaskKey) -> list[TaskKey]:
         """Return the tasks for which an end of this one stands: a gang ends as one."""
         step = self.job.steps[key.step]
         if not step.gang:
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -389,7 +389,7 @@
         lasting = record.job.steps[ended.key.step].lasting
         if ended.outcome is RunOutcome.DONE and not lasting:
             target.consecutive_failures = 0
-            for key in record.list_represented(ended.key):
+            for key in record.list_tasks_sharing_end(ended.key):
                 if record.mark_done(key):
                     self._note_done(record, key)
         elif ended.outcome is RunOutcome.FAILED:
@@ -418,7 +418,7 @@
         record.failed_on.setdefault(key, set()).add(target.entry.target_id)
         if target.consecutive_failures >= FAILURE_STREAK_LIMIT:
             target.cooldown_until_s = now_s + BAR_AFTER_FAILURES_S
-        task = (key.occurrence, key.step, record.list_represented(key)[0].number)
+        task = (key.occurrence, key.step, record.list_tasks_sharing_end(key)[0].number)
         failed_runs = record.progress.failures.get(task, set()) | {ended.run_id}
         log.info(
             'task %s run %d: failed on %s, attempt %d',
