--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -80,7 +80,7 @@
         """Return whether an end `done` of the task is known."""
         return (key.occurrence, key.step, key.number) in self.progress.done
 
-    def may_wait(self, key: TaskKey) -> bool:
+    def needs_start(self, key: TaskKey) -> bool:
         """Return whether the task is to be started and is not yet in `waiting`.
 
         The tasks of a step come into `waiting` with the step's turn, not before.
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -331,7 +331,7 @@
 
     def requeue(self, key: TaskKey) -> None:
         record = self.jobs.get(key.job_id)
-        if record is None or not record.may_wait(key):
+        if record is None or not record.needs_start(key):
             return
         record.waiting[key] = None
 
