--- a/comfreywind/scheduling/run_record.py
+++ b/comfreywind/scheduling/run_record.py
@@ -25,7 +25,7 @@
     """A run on a target.
 
     `last_answer_s` is when the last order about the run was answered: a report that was asked for later
-    shows the run if it is there. `ending` marks a run that an order of ours is about to end. `progressed_s` is when `percent`, the part of the
+    shows the run if it is there. `ending` marks a run that an order of ours is about to end. `last_progress_s` is when `percent`, the part of the
     task that is done, last rose.
     """
 
@@ -45,7 +45,7 @@
     level: float = 0
     pace_percent: int = 100
     percent: int = 0
-    progressed_s: float = 0
+    last_progress_s: float = 0
     tail_limit_ms: int = 0
     filler: bool = False
     lasting: bool = False
@@ -53,6 +53,6 @@
     def is_stalled(self, now_s: float) -> bool:
         """Return whether a short task that has worked stands still."""
         short = not self.lasting and not self.filler
-        working = self.state is RunState.RUNNING and self.progressed_s > 0
+        working = self.state is RunState.RUNNING and self.last_progress_s > 0
         unfinished = self.percent < FULL_PERCENT
-        return short and working and unfinished and now_s - self.progressed_s >= STALL_S
+        return short and working and unfinished and now_s - self.last_progress_s >= STALL_S
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -540,9 +540,9 @@
     run.checkpoint = active.checkpoint or run.checkpoint
     run.at_work = active.at_work_percent >= 100 and not run.ending
     run.level = active.level
-    if active.at_work_percent > run.percent or not run.progressed_s:
+    if active.at_work_percent > run.percent or not run.last_progress_s:
         run.percent = active.at_work_percent
-        run.progressed_s = now_s
+        run.last_progress_s = now_s
 
 
 def _is_wanted(record: JobRecord, key: TaskKey) -> bool:
