--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -167,7 +167,7 @@
         # A silent target may take an extension without an answer, so it gets none: its runs lapse.
         extends = self._keeper.is_valid() and not self._record.silent
         expires_ms = self._find_expiry_ms() if extends else None
-        wait_ms = self._find_wait_ms()
+        wait_ms = self._choose_wait_ms()
         acknowledged = self._record.acknowledged_number
         # Without a term nothing more is acknowledged: a successor may not know of it.
         if extends:
@@ -230,7 +230,7 @@
         with trio.move_on_after(IDLE_LOOK_S):
             await self._wake.wait()
 
-    def _find_wait_ms(self) -> int:
+    def _choose_wait_ms(self) -> int:
         record = self._record
         first = self._clock_offset_ms is None or not record.reported
         if first or record.silent or not record.runs:
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -197,4 +197,4 @@
     run.lasting, run.at_work = bool(lasting), bool(at_work)
     link = make_link(rig, FakeTarget(rig))
     link._clock_offset_ms = 0
-    assert link._find_wait_ms() == wait_ms
+    assert link._choose_wait_ms() == wait_ms
