--- a/tests/field_faults/test_lost_answer.py
+++ b/tests/field_faults/test_lost_answer.py
@@ -14,7 +14,7 @@
 from comfreywind.jobs.start_answer import StartAnswer
 from comfreywind.platform.stored_row import StoredRow
 from comfreywind.scheduling.orders import StartOrder, StopOrder
-from tests.helpers.board_rig import BoardRig, make_job
+from tests.helpers.scheduler_harness import BoardRig, make_job
 from tests.helpers.manual_clock import ManualClock
 
 JOB = make_job()
--- a/tests/field_faults/test_malformed_message.py
+++ b/tests/field_faults/test_malformed_message.py
@@ -19,7 +19,7 @@
 from comfreywind.scheduling.orders import StartOrder
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.supervision import RESTART_PAUSE_S, supervise
-from tests.helpers.board_rig import JOB_ID, BoardRig, make_job
+from tests.helpers.scheduler_harness import JOB_ID, BoardRig, make_job
 from tests.helpers.trio_clock import TrioClock
 
 OTHER_JOB_ID = '00000000000000a2'
--- a/tests/field_faults/test_silent_target.py
+++ b/tests/field_faults/test_silent_target.py
@@ -14,7 +14,7 @@
 from comfreywind.jobs.run_report import ActiveRun, TargetReport
 from comfreywind.platform.target_client import HOLD_MARGIN_S
 from comfreywind.scheduling.target_link import MAX_HOLD_WAIT_S
-from tests.helpers.board_rig import BoardRig
+from tests.helpers.scheduler_harness import BoardRig
 from tests.scheduling.test_target_link import make_link
 
 WATCH_S = 30
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -15,7 +15,15 @@
 from comfreywind.jobs.team import Team
 from comfreywind.scheduling.orders import PaceOrder, StartOrder
 from comfreywind.scheduling.run_record import RunState
-from tests.helpers.board_rig import JOB_ID, QUEUE, STEP, TEAM, BoardRig, list_stops, make_job
+from tests.helpers.scheduler_harness import (
+    JOB_ID,
+    QUEUE,
+    STEP,
+    TEAM,
+    BoardRig,
+    list_stops,
+    make_job,
+)
 
 KEY = TaskKey(JOB_ID, 0, 0, 0)
 
--- a/tests/scheduling/test_demand_trend.py
+++ b/tests/scheduling/test_demand_trend.py
@@ -10,7 +10,7 @@
 from comfreywind.jobs.step import Step
 from comfreywind.scheduling.demand_watch import DemandWatch
 from comfreywind.scheduling.pool_work import group_by_pool
-from tests.helpers.board_rig import POOL, BoardRig, make_job
+from tests.helpers.scheduler_harness import POOL, BoardRig, make_job
 
 INTERVAL_S = 0.2
 LEAD_S = 1.7
--- a/tests/scheduling/test_foreign_rows.py
+++ b/tests/scheduling/test_foreign_rows.py
@@ -18,7 +18,7 @@
     find_progress_part,
 )
 from comfreywind.scheduling.term_row import decode_registry, decode_term
-from tests.helpers.board_rig import JOB_ID, make_job
+from tests.helpers.scheduler_harness import JOB_ID, make_job
 from tests.scheduling.test_holder import write_row
 
 OTHER_JOB_ID = '00000000000000a8'
--- a/tests/scheduling/test_holder.py
+++ b/tests/scheduling/test_holder.py
@@ -24,7 +24,7 @@
 from comfreywind.scheduling.term_row import TermRow, decode_term, encode_registry, encode_term
 from comfreywind.stand_ins.jobs.row_store import RowStore
 from comfreywind.stand_ins.jobs.target_app import JobTargetApp
-from tests.helpers.board_rig import JOB_ID, make_job
+from tests.helpers.scheduler_harness import JOB_ID, make_job
 
 
 def write_row(store: RowStore, table: str, part: str, key: str, payload: bytes) -> None:
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -30,7 +30,7 @@
 from comfreywind.scheduling.job_retention import JobRetention
 from comfreywind.settings.node import JobTimings
 from comfreywind.stand_ins.jobs.row_store import RowStore
-from tests.helpers.board_rig import JOB_ID, QUEUE, TEAM, make_job
+from tests.helpers.scheduler_harness import JOB_ID, QUEUE, TEAM, make_job
 from tests.helpers.manual_clock import ManualClock
 
 RETENTION_S = 100
--- a/tests/scheduling/test_pool_sizer.py
+++ b/tests/scheduling/test_pool_sizer.py
@@ -11,7 +11,7 @@
 from comfreywind.jobs.step import Step
 from comfreywind.jobs.vm import Vm
 from comfreywind.scheduling.pool_sizer import PoolSizer
-from tests.helpers.board_rig import POOL, BoardRig, make_job
+from tests.helpers.scheduler_harness import POOL, BoardRig, make_job
 
 POOLS = (Pool(POOL), Pool('standby', standby=True))
 VMS = {
--- a/tests/scheduling/test_pools_at_size.py
+++ b/tests/scheduling/test_pools_at_size.py
@@ -14,7 +14,7 @@
 from comfreywind.scheduling import demand_watch
 from comfreywind.scheduling.pool_sizer import PoolSizer
 from comfreywind.scheduling.target_record import TargetRecord
-from tests.helpers.board_rig import BoardRig, make_job
+from tests.helpers.scheduler_harness import BoardRig, make_job
 
 NOW_MS = 10_000_000
 ONE_HOUR_MS = 3_600_000
--- a/tests/scheduling/test_room_index.py
+++ b/tests/scheduling/test_room_index.py
@@ -16,7 +16,7 @@
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
 from comfreywind.scheduling.orders import StartOrder
-from tests.helpers.board_rig import BoardRig, make_job
+from tests.helpers.scheduler_harness import BoardRig, make_job
 
 TARGETS = 272
 LOOKS_PER_START = 2
--- a/tests/scheduling/test_roster.py
+++ b/tests/scheduling/test_roster.py
@@ -16,7 +16,7 @@
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.target_registry import RETRY_S, SHRINK_INTERVAL_S, TargetRegistry
 from comfreywind.scheduling.term_row import decode_registry, encode_registry
-from tests.helpers.board_rig import BoardRig, make_job
+from tests.helpers.scheduler_harness import BoardRig, make_job
 from tests.helpers.trio_clock import TrioClock
 
 COMMIT_S = 1.0
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -14,7 +14,7 @@
 from comfreywind.scheduling.progress_journal import ProgressJournal
 from comfreywind.scheduling.target_link import TargetLink
 from comfreywind.scheduling.term_keeper import TermKeeper
-from tests.helpers.board_rig import BoardRig
+from tests.helpers.scheduler_harness import BoardRig
 from tests.helpers.trio_clock import TrioClock
 
 
--- a/tests/test_job_limits.py
+++ b/tests/test_job_limits.py
@@ -14,7 +14,7 @@
 from comfreywind.jobs.job_codec import decode_accepted, encode_job
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.platform.caller_codec import decode_job_request
-from tests.helpers.board_rig import JOB_ID, QUEUE, STEP, TEAM, BoardRig, make_job
+from tests.helpers.scheduler_harness import JOB_ID, QUEUE, STEP, TEAM, BoardRig, make_job
 
 HUGE = 10**30
 MEMORY_LIMIT_BYTES = 4_000_000
