--- a/tests/field_faults/test_lost_answer.py
+++ b/tests/field_faults/test_lost_answer.py
@@ -14,7 +14,7 @@
 from comfreywind.jobs.start_answer import StartAnswer
 from comfreywind.platform.stored_row import StoredRow
 from comfreywind.scheduling.orders import StartOrder, StopOrder
-from tests.helpers.scheduler_harness import BoardRig, make_job
+from tests.helpers.scheduler_harness import SchedulerHarness, make_job
 from tests.helpers.manual_clock import ManualClock
 
 JOB = make_job()
@@ -61,9 +61,9 @@
     assert raised.type is expected
 
 
-def start_without_answer() -> tuple[BoardRig, StartOrder]:
+def start_without_answer() -> tuple[SchedulerHarness, StartOrder]:
     """Return a board with a start whose answer was lost."""
-    rig = BoardRig(targets=2)
+    rig = SchedulerHarness(targets=2)
     rig.add_job()
     (order,) = rig.plan()
     assert isinstance(order, StartOrder)
--- a/tests/field_faults/test_malformed_message.py
+++ b/tests/field_faults/test_malformed_message.py
@@ -19,7 +19,7 @@
 from comfreywind.scheduling.orders import StartOrder
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.supervision import RESTART_PAUSE_S, supervise
-from tests.helpers.scheduler_harness import JOB_ID, BoardRig, make_job
+from tests.helpers.scheduler_harness import JOB_ID, SchedulerHarness, make_job
 from tests.helpers.trio_clock import TrioClock
 
 OTHER_JOB_ID = '00000000000000a2'
@@ -50,7 +50,7 @@
 )
 def test_end_of_no_task(key: TaskKey, outcome: RunOutcome) -> None:
     """Guards against a holder that ends because of what one target lists."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     rig.report('t0', ended=((key, 1, outcome),))
     rig.report('t0', active=((key, 2),))
@@ -77,7 +77,7 @@
 
 def test_job_that_cannot_be_planned(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against one job that keeps all others from being started."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_job()
     rig.add_job(make_job(job_id=OTHER_JOB_ID))
     find_run_id = rig.planner._find_run_id
--- a/tests/field_faults/test_silent_target.py
+++ b/tests/field_faults/test_silent_target.py
@@ -14,7 +14,7 @@
 from comfreywind.jobs.run_report import ActiveRun, TargetReport
 from comfreywind.platform.target_client import HOLD_MARGIN_S
 from comfreywind.scheduling.target_link import MAX_HOLD_WAIT_S
-from tests.helpers.scheduler_harness import BoardRig
+from tests.helpers.scheduler_harness import SchedulerHarness
 from tests.scheduling.test_target_link import make_link
 
 WATCH_S = 30
@@ -24,7 +24,9 @@
 class SlowTarget:
     """Keeps one run under a lease, and answers late or, in `silent_s`, not at all."""
 
-    def __init__(self, rig: BoardRig, delay_s: float, silent_s: tuple[float, float]) -> None:
+    def __init__(
+        self, rig: SchedulerHarness, delay_s: float, silent_s: tuple[float, float]
+    ) -> None:
         """Run what the board has on t0, with a lease that was just extended."""
         (self.order,) = rig.start()
         self._delay_s = delay_s
@@ -78,7 +80,7 @@
     autojump_clock: trio.testing.MockClock, delay_s: float, silent_s: tuple[float, float]
 ) -> None:
     """Guards against work that is done twice, or lost, because its target answers late."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     target: Any = SlowTarget(rig, delay_s, silent_s)
     with trio.move_on_after(WATCH_S):
@@ -92,7 +94,7 @@
 
 async def test_restart_only_after_lapse(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a second run beside the first on a target that has fallen silent for good."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     target: Any = SlowTarget(rig, 0.01, (5, 1_000))
     async with trio.open_nursery() as nursery:
--- a/tests/helpers/scheduler_harness.py
+++ b/tests/helpers/scheduler_harness.py
@@ -31,7 +31,7 @@
     return replace(job, **fields)  # type: ignore[arg-type]
 
 
-class BoardRig:
+class SchedulerHarness:
     """A board of one pool; time stands still unless a test moves `now_s`."""
 
     def __init__(self, targets: int = 2, cpu: int = 4000, epoch: int = 1) -> None:
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -20,7 +20,7 @@
     QUEUE,
     STEP,
     TEAM,
-    BoardRig,
+    SchedulerHarness,
     list_stops,
     make_job,
 )
@@ -34,7 +34,7 @@
     Seen on prevoz-plan trouble-1 after a change of the holder: runs 1001 and 1002 started at the
     same moment.
     """
-    rig = BoardRig(epoch=2)
+    rig = SchedulerHarness(epoch=2)
     rig.add_job()
     rig.report('t0', ended=((KEY, 1, RunOutcome.FAILED),))
     assert len(rig.start()) == 1
@@ -42,7 +42,7 @@
 
 def test_steps_in_order() -> None:
     """Guards against a step that starts before the steps that it waits for are done."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_job(make_job(STEP, Step(1, Resources(1000, 100), after=(0,))))
     first = rig.start()
     assert [order.key.step for order in first] == [0]
@@ -52,7 +52,7 @@
 
 def test_complete_only_when_all_done() -> None:
     """Guards against a job that is shown as complete while a task has not ended."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     job = rig.add_job(make_job(Step(2, Resources(1000, 100))))
     first, second = rig.start()
     rig.end(first, RunOutcome.DONE)
@@ -63,7 +63,7 @@
 
 def test_attempt_limit() -> None:
     """Guards against a start after the last allowed attempt has failed."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     job = rig.add_job()
     for _ in range(3):
         rig.now_s += 10
@@ -85,7 +85,7 @@
 )
 def test_answers_to_starts(answer: StartAnswer, restarted: bool) -> None:
     """Guards against a second run while the first may still come, and against a lost task."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     (order,) = rig.plan()
     rig.answer(order, answer)  # type: ignore[arg-type]
@@ -108,7 +108,7 @@
     Seen on prevoz-plan-large quiet-1, seed 236301455: starts timed out, and 0 jobs were said to wait
     while 13 had waited for five seconds.
     """
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_job()
     (order,) = rig.plan()
     assert isinstance(order, StartOrder)
@@ -120,7 +120,7 @@
 @pytest.mark.parametrize('listed', ['active', 'ended'])
 def test_begun_by_report(listed: str) -> None:
     """Guards against a job said to wait although its target shows what it has begun."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_job(make_job(replace(STEP, task_count=2)))
     order = rig.plan()[0]
     assert isinstance(order, StartOrder)
@@ -137,7 +137,7 @@
 
     The run is stopped first; only a list asked for after the confirmed stop frees the task.
     """
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     (order,) = rig.plan()
     rig.answer(order, StartAnswer.UNKNOWN)  # type: ignore[arg-type]
@@ -154,7 +154,7 @@
 
 def test_stop_without_answer_is_repeated() -> None:
     """Guards against a run of a cancelled job that goes on because its stop was lost."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     rig.start()
     rig.board.cancel_job(JOB_ID)
@@ -164,7 +164,7 @@
 
 def test_adopted_run() -> None:
     """Guards against a second run of a task that an earlier holder started."""
-    rig = BoardRig(epoch=2)
+    rig = SchedulerHarness(epoch=2)
     rig.add_job(reconciled=False)
     assert not rig.plan()
     rig.report('t0', active=((KEY, 1),))
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize('case', ['cancelled', 'unknown', 'done', 'elsewhere'])
 def test_unwanted_run_is_stopped(case: str) -> None:
     """Guards against runs of an earlier holder that nobody asked for any more."""
-    rig = BoardRig(epoch=2)
+    rig = SchedulerHarness(epoch=2)
     if case != 'unknown':
         progress = Progress(done={(0, 0, 0)}) if case == 'done' else Progress()
         rig.board.add_job(make_job(), progress, 1, reconciled=True)
@@ -189,7 +189,7 @@
 
 def test_new_life_requeues() -> None:
     """Guards against tasks lost with a target that starts anew under its id."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     rig.start()
     rig.report('t0', born_ms=2)
@@ -199,7 +199,7 @@
 
 def test_cancel_before_job() -> None:
     """Guards against a job that starts because its cancelling was read before it."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.board.cancel_job(JOB_ID)
     rig.add_job()
     assert not rig.plan()
@@ -207,7 +207,7 @@
 
 def test_ceiling() -> None:
     """Guards against a team that runs more than its ceiling, stops under way included."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.board.rules.teams[TEAM] = Team(TEAM, ceiling=Resources(cpu_millicores=2500))
     rig.add_job(make_job(Step(4, Resources(1000, 100))))
     assert len(rig.start()) == 2
@@ -217,7 +217,7 @@
 
 def test_failing_target_is_barred() -> None:
     """Guards against a target that fails everything and uses up the attempts of many jobs."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job(make_job(Step(6, Resources(1000, 100))))
     for order in rig.start()[:2]:
         rig.end(order, RunOutcome.FAILED)
@@ -226,7 +226,7 @@
 
 def test_late_job_yields() -> None:
     """Guards against a burst in which all jobs become late because those that are late come first."""
-    rig = BoardRig(targets=1, cpu=1000)
+    rig = SchedulerHarness(targets=1, cpu=1000)
     late = make_job(job_id='00000000000000b1', accepted_ms=0)
     fresh = make_job(job_id='00000000000000b2', accepted_ms=100_000)
     rig.add_job(late)
@@ -236,7 +236,7 @@
 
 def test_crowded_step_is_spread() -> None:
     """Guards against a VM that can't go down because it has two tasks of a step that may miss one."""
-    rig = BoardRig(targets=3)
+    rig = SchedulerHarness(targets=3)
     rig.add_job(make_job(Step(3, Resources(1000, 100), lasting=True, unavailable_limit=1)))
     assert len({order.target_id for order in rig.start()}) == 3
 
@@ -247,7 +247,7 @@
     Suspected on prevoz-plan scale-2, seed 446700882985: a report that came while an upkeep was
     being ordered showed the task at work again.
     """
-    rig = BoardRig(targets=2)
+    rig = SchedulerHarness(targets=2)
     rig.add_job(make_job(Step(2, Resources(1000, 100), lasting=True, unavailable_limit=1)))
     first, second = rig.start()
     for order in (first, second):
@@ -268,7 +268,7 @@
 
 def test_gang_starts_whole() -> None:
     """Guards against a gang of which some members wait for others that have no room."""
-    rig = BoardRig(targets=1, cpu=2000)
+    rig = SchedulerHarness(targets=1, cpu=2000)
     rig.add_job(make_job(GANG))
     assert not rig.plan()
     assert rig.board.targets['t0'].used == Resources()
@@ -278,7 +278,7 @@
 
 def test_gang_member_refused() -> None:
     """Guards against members that end alone: after a refusal the others are stopped first."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_job(make_job(GANG))
     first, *others = [order for order in rig.plan()]
     rig.answer(first, StartAnswer.NO_ROOM)  # type: ignore[arg-type]
@@ -295,7 +295,7 @@
 
 def test_gang_is_done_with_one_end() -> None:
     """Guards against a gang that runs again although one end `done` stands for all members."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_job(make_job(GANG))
     rig.end(rig.start()[1], RunOutcome.DONE)
     assert rig.board.jobs[JOB_ID].progress.state is JobState.COMPLETE
@@ -303,7 +303,7 @@
 
 def test_gang_in_one_rack() -> None:
     """Guards against a gang that is spread over racks when one rack has room for it."""
-    rig = BoardRig(targets=0)
+    rig = SchedulerHarness(targets=0)
     for rack, count in (('r1', 1), ('r2', 2)):
         for number in range(count):
             rig.add_target(f'{rack}-{number}', 2000, frozenset(('a', rack)))
@@ -313,7 +313,7 @@
 
 def test_advice() -> None:
     """Guards against starts without a ticket, or with one that is no longer valid."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     queue = replace(QUEUE, advice_validity_ms=3000)
     rig.add_job(make_job(queue=queue))
     assert not rig.plan()
@@ -333,7 +333,7 @@
 )
 def test_fillers_are_paced(tail_ms: float, percent: int | None) -> None:
     """Guards against users whose responses stay slow because of fillers beside their tasks."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     serving = Step(1, Resources(1000, 100), lasting=True, tail_limit_ms=100)
     rig.add_job(make_job(serving, Step(1, Resources(1000, 100), filler=True)))
     orders = rig.start()
@@ -346,7 +346,7 @@
 
 def test_occurrences_start_when_due() -> None:
     """Guards against an occurrence of a timed job that starts before its time."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     due_ms = int(rig.now_s * 1000) + 5000
     rig.add_job(make_job(occurrence_count=2, first_due_ms=due_ms, interval_ms=1000))
     assert not rig.plan()
@@ -366,7 +366,7 @@
 )
 def test_placement(step: Step, target: str | None) -> None:
     """Guards against tasks on targets that lack a label, the data or the room."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_target('t2', 4000, frozenset(('big', 'r9')))
     rig.add_job(make_job(step))
     assert [order.target_id for order in rig.start()] == ([] if target is None else [target])
@@ -374,7 +374,7 @@
 
 def test_tasks_per_target() -> None:
     """Guards against more tasks of a step on one target than the step allows."""
-    rig = BoardRig(targets=2)
+    rig = SchedulerHarness(targets=2)
     rig.add_job(make_job(Step(5, Resources(100, 10), target_limit=2)))
     starts = rig.start()
     assert sorted(order.target_id for order in starts) == ['t0', 't0', 't1', 't1']
@@ -385,7 +385,7 @@
 
     Targets with this fault (`srv_grey`, variant `hang`) stay healthy by their own word.
     """
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_job()
     (order,) = rig.start()
     active = ((order.key, order.run_id),)
@@ -400,7 +400,7 @@
 
 def test_long_task_stays() -> None:
     """Guards against restarts of a task that is long itself while its target works as usual."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job(make_job(Step(3, Resources(1000, 100), estimate_ms=1000)))
     orders = rig.start()
     rig.now_s += 1
@@ -411,7 +411,7 @@
 
 def test_barred_target_is_probed() -> None:
     """Guards against many attempts lost at once when a failing target is tried again."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job(make_job(Step(6, Resources(100, 10))))
     for order in rig.start()[:2]:
         rig.end(order, RunOutcome.FAILED)
@@ -423,7 +423,7 @@
 
 def test_gang_without_room_holds_up_nobody() -> None:
     """Guards against jobs that never start because a gang of their size does not fit."""
-    rig = BoardRig(targets=1, cpu=2000)
+    rig = SchedulerHarness(targets=1, cpu=2000)
     rig.add_job(make_job(GANG))
     rig.add_job(make_job(Step(2, Resources(1000, 100)), job_id='00000000000000b1'))
     assert {order.key.job_id for order in rig.start()} == {'00000000000000b1'}
@@ -435,7 +435,7 @@
     Seen on prevoz-plan hunt-00d4-27 and hunt-00d4-15: the earlier holder had stored a failed end but
     was lost before it acknowledged it, and its successor counted the end once more.
     """
-    rig = BoardRig(epoch=2)
+    rig = SchedulerHarness(epoch=2)
     stored = Progress(failures={(0, 0, 0): {1, 2}})
     rig.board.add_job(make_job(), decode_progress(encode_progress(stored)), 1, reconciled=True)
     rig.report('t0', ended=((KEY, 2, RunOutcome.FAILED),))
--- a/tests/scheduling/test_demand_trend.py
+++ b/tests/scheduling/test_demand_trend.py
@@ -10,7 +10,7 @@
 from comfreywind.jobs.step import Step
 from comfreywind.scheduling.demand_watch import DemandWatch
 from comfreywind.scheduling.pool_work import group_by_pool
-from tests.helpers.scheduler_harness import POOL, BoardRig, make_job
+from tests.helpers.scheduler_harness import POOL, SchedulerHarness, make_job
 
 INTERVAL_S = 0.2
 LEAD_S = 1.7
@@ -77,7 +77,7 @@
     Seen on the recorded days of prevoz-plan-large and villacres-quito-grown: turns rise for 2 to 3 s and a
     move takes 1.7 s, so half of the jobs of the first seconds were late.
     """
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     old = [f'ff{number:014x}' for number in range(10 * removed_each_look)]
     for job_id in old:
         rig.add_job(make_job(job_id=job_id))
--- a/tests/scheduling/test_pool_sizer.py
+++ b/tests/scheduling/test_pool_sizer.py
@@ -11,7 +11,7 @@
 from comfreywind.jobs.step import Step
 from comfreywind.jobs.vm import Vm
 from comfreywind.scheduling.pool_sizer import PoolSizer
-from tests.helpers.scheduler_harness import POOL, BoardRig, make_job
+from tests.helpers.scheduler_harness import POOL, SchedulerHarness, make_job
 
 POOLS = (Pool(POOL), Pool('standby', standby=True))
 VMS = {
@@ -23,7 +23,7 @@
 POLICY = PoolPolicy(base_part=0, spare_vms=0, smallest_pool=1, shrink_after_s=1)
 
 
-def choose_later(sizer: PoolSizer, rig: BoardRig) -> list[VmMove]:
+def choose_later(sizer: PoolSizer, rig: SchedulerHarness) -> list[VmMove]:
     """Return the moves once the pool has had too many VMs for long enough."""
     sizer.choose(POOLS, VMS, rig.now_s)
     rig.now_s += POLICY.shrink_after_s
@@ -32,7 +32,7 @@
 
 def test_idle_vms_move() -> None:
     """Guards against idle VMs that are paid for."""
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     assert len(choose_later(PoolSizer(rig.board, POLICY), rig)) == 3
 
 
@@ -43,7 +43,7 @@
     Seen on prevoz-plan holder-and-store with seed 652107374108 (AVAIL): since a successor orders
     moves at once, it took targets for idle that had not answered it yet.
     """
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     for target in ('t0', 't1'):
         setattr(rig.board.targets[target], field, field == 'silent')
     moved = {move.vm for move in choose_later(PoolSizer(rig.board, POLICY), rig)}
@@ -52,14 +52,14 @@
 
 def test_closed_vms_stay() -> None:
     """Guards against a move of a VM that an earlier holder may have ordered just before."""
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     sizer = PoolSizer(rig.board, POLICY, is_open=lambda vm: vm == 'vm3')
     assert choose_later(sizer, rig) == [VmMove('vm3', 'standby')]
 
 
 def test_slow_roster_orders_no_more() -> None:
     """Guards against VMs that are ordered twice while a slow store takes in those that came."""
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     standby = Vm('vm9', 'standby', True, 'dc', frozenset(), Resources(4000, 10_000), 'off')
     for number in range(8):
         rig.add_job(make_job(Step(2, Resources(1000, 100)), job_id=f'{number:016x}'))
@@ -76,7 +76,7 @@
     Seen on prevoz-plan-large quiet-1, seed 236301455 (LOST): a task of 52 GB waited 9.5 s while each VM
     of its pool had 48 GB and two thirds of its cores free, and the pool was not enlarged.
     """
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     rig.add_job(make_job(Step(8, Resources(100, 6_000), lasting=True)))
     rig.start()
     standby = Vm('vm9', 'standby', True, 'dc', frozenset(), Resources(4000, 10_000), 'off')
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize(('target_limit', 'moves'), [(0, 1), (1, 2)])
 def test_scattered_room(target_limit: int, moves: int) -> None:
     """Guards against lasting tasks that wait while the free memory of a pool lies in small pieces."""
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     rig.add_job(make_job(Step(4, Resources(100, 6_000), lasting=True)))
     rig.start()
     step = Step(2, Resources(100, 5_000), lasting=True, target_limit=target_limit)
--- a/tests/scheduling/test_pools_at_size.py
+++ b/tests/scheduling/test_pools_at_size.py
@@ -14,7 +14,7 @@
 from comfreywind.scheduling import demand_watch
 from comfreywind.scheduling.pool_sizer import PoolSizer
 from comfreywind.scheduling.target_record import TargetRecord
-from tests.helpers.scheduler_harness import BoardRig, make_job
+from tests.helpers.scheduler_harness import SchedulerHarness, make_job
 
 NOW_MS = 10_000_000
 ONE_HOUR_MS = 3_600_000
@@ -33,7 +33,7 @@
 
 def count_passes(pools: int) -> int:
     """Return how often all targets are looked at to size so many pools once."""
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     rig.add_job()
     rig.start()
     targets = CountedTargets(rig.board.targets)
@@ -53,7 +53,7 @@
 
 def test_old_jobs_are_not_recalled(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a new holder that reconstructs the load of hours, for which it plans nothing."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     for number, accepted_ms in enumerate((NOW_MS - ONE_HOUR_MS, NOW_MS - 1000)):
         job = make_job(
             Step(1, Resources(1000, 100)), job_id=f'{number:016x}', accepted_ms=accepted_ms
--- a/tests/scheduling/test_room_index.py
+++ b/tests/scheduling/test_room_index.py
@@ -16,7 +16,7 @@
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
 from comfreywind.scheduling.orders import StartOrder
-from tests.helpers.scheduler_harness import BoardRig, make_job
+from tests.helpers.scheduler_harness import SchedulerHarness, make_job
 
 TARGETS = 272
 LOOKS_PER_START = 2
@@ -116,7 +116,7 @@
         return find_rank(*arguments)  # type: ignore[arg-type]
 
     monkeypatch.setattr(room_index, '_find_rank', count_look)
-    rig = BoardRig(targets=TARGETS, cpu=32_000)
+    rig = SchedulerHarness(targets=TARGETS, cpu=32_000)
     for number in range(200):
         steps = (Step(8, Resources(4_500, 100)),)
         rig.add_job(make_job(*steps, job_id=f'{number:016x}'))
--- a/tests/scheduling/test_roster.py
+++ b/tests/scheduling/test_roster.py
@@ -16,7 +16,7 @@
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.target_registry import RETRY_S, SHRINK_INTERVAL_S, TargetRegistry
 from comfreywind.scheduling.term_row import decode_registry, encode_registry
-from tests.helpers.scheduler_harness import BoardRig, make_job
+from tests.helpers.scheduler_harness import SchedulerHarness, make_job
 from tests.helpers.trio_clock import TrioClock
 
 COMMIT_S = 1.0
@@ -52,7 +52,7 @@
         return decode_registry(self.payload)
 
 
-def start_roster(nursery: trio.Nursery, rig: BoardRig, store: SlowStore) -> TargetRegistry:
+def start_roster(nursery: trio.Nursery, rig: SchedulerHarness, store: SlowStore) -> TargetRegistry:
     """Run the roster of the board and let it see the targets."""
     rows = cast('RowsClient', store)
     registry = TargetRegistry(rows, rig.board, TrioClock(), lambda: None, lambda: store.permitted)
@@ -61,7 +61,7 @@
     return registry
 
 
-def add_new_target(rig: BoardRig, name: str) -> None:
+def add_new_target(rig: SchedulerHarness, name: str) -> None:
     """Register a target that has reported and is not in the row yet."""
     rig.add_target(name)
     rig.board.targets[name].in_registry = False
@@ -69,7 +69,7 @@
 
 async def test_work_goes_on(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against plans that wait for a slow store whenever a target registers."""
-    rig, store = BoardRig(targets=1, cpu=1000), SlowStore()
+    rig, store = SchedulerHarness(targets=1, cpu=1000), SlowStore()
     rig.add_job()
     rig.add_job(make_job(job_id=OTHER_JOB_ID))
     async with trio.open_nursery() as nursery:
@@ -86,7 +86,7 @@
 
 async def test_lost_answers(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a target that never gets work because the answer to its write was lost."""
-    rig, store = BoardRig(targets=0), SlowStore()
+    rig, store = SchedulerHarness(targets=0), SlowStore()
     store.faults = [StoreUnavailableError('lost'), StoreUnavailableError('lost')]
     add_new_target(rig, 'late')
     async with trio.open_nursery() as nursery:
@@ -100,7 +100,7 @@
 
 async def test_target_leaves_the_row(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a start on a target while a row without it is being written."""
-    rig, store = BoardRig(targets=0), SlowStore()
+    rig, store = SchedulerHarness(targets=0), SlowStore()
     add_new_target(rig, 'late')
     async with trio.open_nursery() as nursery:
         registry = start_roster(nursery, rig, store)
@@ -124,7 +124,7 @@
 
     A conflict shows it the version of that row, with which the next attempt would succeed.
     """
-    rig, store = BoardRig(targets=0), SlowStore()
+    rig, store = SchedulerHarness(targets=0), SlowStore()
     add_new_target(rig, 'late')
     async with trio.open_nursery() as nursery:
         start_roster(nursery, rig, store)
--- a/tests/scheduling/test_surges_across_holders.py
+++ b/tests/scheduling/test_surges_across_holders.py
@@ -11,7 +11,7 @@
 from comfreywind.jobs.step import Step
 from comfreywind.jobs.vm import Vm
 from comfreywind.scheduling.pool_sizer import PoolSizer
-from tests.helpers.scheduler_harness import POOL, BoardRig, make_job
+from tests.helpers.scheduler_harness import POOL, SchedulerHarness, make_job
 
 POOLS = (Pool(POOL), Pool('standby', standby=True))
 TASK = Resources(1000, 100)
@@ -31,7 +31,7 @@
     }
 
 
-def add_ended_turn(rig: BoardRig, ago_ms: int) -> None:
+def add_ended_turn(rig: SchedulerHarness, ago_ms: int) -> None:
     """Add the jobs of a turn that an earlier holder has carried out."""
     for number in range(TURN_TASKS):
         job = make_job(
@@ -51,7 +51,7 @@
 )
 def test_next_turn_after_change_of_holder(ago_ms: int, moves: int) -> None:
     """Guards against a pool that grows only step by step in the turn after a change of the holder."""
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     add_ended_turn(rig, ago_ms)
     sizer = PoolSizer(rig.board, POLICY)
     sizer.recall(rig.now_s, NOW_MS)
@@ -66,7 +66,7 @@
 
 def test_turn_under_way_at_change_of_holder() -> None:
     """Guards against the end of a turn that is taken for the begin of another one."""
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     add_ended_turn(rig, 100)
     sizer = PoolSizer(rig.board, POLICY)
     sizer.recall(rig.now_s, NOW_MS)
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -14,14 +14,14 @@
 from comfreywind.scheduling.progress_journal import ProgressJournal
 from comfreywind.scheduling.target_link import TargetLink
 from comfreywind.scheduling.term_keeper import TermKeeper
-from tests.helpers.scheduler_harness import BoardRig
+from tests.helpers.scheduler_harness import SchedulerHarness
 from tests.helpers.trio_clock import TrioClock
 
 
 class FakeTarget:
     """Answers holds with an empty list until it falls silent or is replaced."""
 
-    def __init__(self, rig: BoardRig) -> None:
+    def __init__(self, rig: SchedulerHarness) -> None:
         """Answer for the runs that the board has on t0."""
         self.rig = rig
         self.failure: Exception | None = None
@@ -60,7 +60,7 @@
         await trio.sleep(0.01)
 
 
-def make_link(rig: BoardRig, client: Any) -> TargetLink:
+def make_link(rig: SchedulerHarness, client: Any) -> TargetLink:
     """Return the link of target t0."""
     return TargetLink(
         rig.board.targets['t0'],
@@ -75,7 +75,7 @@
     )
 
 
-async def start_run(nursery: trio.Nursery, rig: BoardRig, client: FakeTarget) -> Order:
+async def start_run(nursery: trio.Nursery, rig: SchedulerHarness, client: FakeTarget) -> Order:
     """Run the link of a target, and order a run that no report has to show; return the order."""
     link = make_link(rig, client)
     nursery.start_soon(link.run)
@@ -98,7 +98,7 @@
     Seen on prevoz-plan mix, seed 726267510281: each look at a target that had left moved the end of
     its lease on, so that its runs never lapsed.
     """
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     client = FakeTarget(rig)
     async with trio.open_nursery() as nursery:
@@ -114,7 +114,7 @@
 
 async def test_lease_outlasts_silence(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a second run while the first may still hold its lease."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     client = FakeTarget(rig)
     async with trio.open_nursery() as nursery:
@@ -144,7 +144,7 @@
 class SilentTarget(FakeTarget):
     """Never answers, and notes when it was asked."""
 
-    def __init__(self, rig: BoardRig) -> None:
+    def __init__(self, rig: SchedulerHarness) -> None:
         """Start without a call."""
         super().__init__(rig)
         self.asked_s: list[float] = []
@@ -163,7 +163,7 @@
     Pattern: exponential backoff. Seen on prevoz-plan-large quiet-1: 1,728 moves left as many links
     that tried to connect three times a second until the entry and the lease were gone.
     """
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     client = SilentTarget(rig)
     rig.board.targets['t0'].leaving = True
     rig.board.targets['t0'].lease_end_s = trio.current_time() + 6
@@ -174,7 +174,7 @@
 
 async def test_looks_at_silent_runs(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a target with runs that is found late when it answers again."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     rig.start()
     client = SilentTarget(rig)
@@ -190,7 +190,7 @@
 )
 def test_wait_for_report(lasting: int, at_work: int, wait_ms: int) -> None:
     """Guards against lasting tasks that are seen at work a second late, which holds up upkeep."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     (order,) = rig.start()
     run = rig.board.targets['t0'].runs[order.key]
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_upkeep_rounds.py
@@ -24,7 +24,7 @@
 from comfreywind.scheduling.orders import StartOrder
 from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
-from tests.helpers.scheduler_harness import POOL, BoardRig, make_job
+from tests.helpers.scheduler_harness import POOL, SchedulerHarness, make_job
 from tests.helpers.trio_clock import TrioClock
 
 VMS = 8
@@ -40,7 +40,7 @@
 
     def __init__(self, unavailable_limit: int = 1) -> None:
         """Run a lasting step with a task on each VM, of which few may be away; half of them are due."""
-        self.rig = BoardRig(targets=2 * VMS, cpu=2_000)
+        self.rig = SchedulerHarness(targets=2 * VMS, cpu=2_000)
         step = Step(
             2 * VMS, Resources(1_000, 100), lasting=True, unavailable_limit=unavailable_limit
         )
--- a/tests/test_job_limits.py
+++ b/tests/test_job_limits.py
@@ -14,7 +14,7 @@
 from comfreywind.jobs.job_codec import decode_accepted, encode_job
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.platform.caller_codec import decode_job_request
-from tests.helpers.scheduler_harness import JOB_ID, QUEUE, STEP, TEAM, BoardRig, make_job
+from tests.helpers.scheduler_harness import JOB_ID, QUEUE, STEP, TEAM, SchedulerHarness, make_job
 
 HUGE = 10**30
 MEMORY_LIMIT_BYTES = 4_000_000
@@ -85,7 +85,7 @@
 
 def test_largest_job_is_planned() -> None:
     """Guards against a limit that still lets one job hold up the holder's loop."""
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_job(make_job(occurrence_count=5_000, interval_ms=1, first_due_ms=1))
     assert rig.plan()
 
