--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -129,55 +129,55 @@
 
 async def make_rig(state: JobState = JobState.COMPLETE) -> Rig:
     """Return a rig whose holder has seen the job once."""
-    rig = Rig(state)
-    await rig.store_job()
-    await rig.take_over()
-    await rig.sweep()
-    return rig
+    harness = Rig(state)
+    await harness.store_job()
+    await harness.take_over()
+    await harness.sweep()
+    return harness
 
 
 async def test_removed_in_time(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against jobs that are kept for ever, or for less than the users' `status_s`."""
-    rig = await make_rig()
-    await rig.sweep(RETENTION_S - 1)
-    assert (rig.client.count(), len(rig.board.jobs)) == (3, 1)
-    await rig.sweep(1)
-    assert (rig.client.count(), len(rig.board.jobs)) == (0, 0)
+    harness = await make_rig()
+    await harness.sweep(RETENTION_S - 1)
+    assert (harness.client.count(), len(harness.board.jobs)) == (3, 1)
+    await harness.sweep(1)
+    assert (harness.client.count(), len(harness.board.jobs)) == (0, 0)
 
 
 @pytest.mark.parametrize('state', [JobState.QUEUED, JobState.RUNNING])
 async def test_open_jobs_stay(state: JobState, autojump_clock: trio.testing.MockClock) -> None:
     """Guards against the removal of a job that is not done, however old."""
-    rig = await make_rig(state)
-    await rig.sweep(10 * RETENTION_S)
-    assert (rig.client.count(), len(rig.board.jobs)) == (3, 1)
+    harness = await make_rig(state)
+    await harness.sweep(10 * RETENTION_S)
+    assert (harness.client.count(), len(harness.board.jobs)) == (3, 1)
 
 
 async def test_former_holder(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a removal by a holder whose term has run out meanwhile."""
-    rig = await make_rig()
-    rig.permitted = False
-    await rig.sweep(2 * RETENTION_S)
-    assert rig.client.count() == 3
+    harness = await make_rig()
+    harness.permitted = False
+    await harness.sweep(2 * RETENTION_S)
+    assert harness.client.count() == 3
 
 
 async def test_time_counts_from_the_takeover(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a holder that takes what it has just read for old."""
-    rig = await make_rig()
-    rig.clock.advance(RETENTION_S - 1)
-    await rig.take_over()
-    await rig.sweep()
-    await rig.sweep(RETENTION_S - 1)
-    assert rig.client.count() == 3
+    harness = await make_rig()
+    harness.clock.advance(RETENTION_S - 1)
+    await harness.take_over()
+    await harness.sweep()
+    await harness.sweep(RETENTION_S - 1)
+    assert harness.client.count() == 3
 
 
 async def test_progress_written_by_a_caller(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a cancelled job that stays because its row has another version."""
-    rig = await make_rig(JobState.CANCELLED)
-    rig.board.jobs[JOB_ID].progress_version = 0
-    await rig.sweep(RETENTION_S)
-    await rig.sweep()
-    assert (rig.client.count(), len(rig.board.jobs)) == (0, 0)
+    harness = await make_rig(JobState.CANCELLED)
+    harness.board.jobs[JOB_ID].progress_version = 0
+    await harness.sweep(RETENTION_S)
+    await harness.sweep()
+    assert (harness.client.count(), len(harness.board.jobs)) == (0, 0)
 
 
 @pytest.mark.parametrize('taken_over', [False, True])
@@ -186,18 +186,18 @@
     lost: int, taken_over: bool, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against a removal that stops half-way, or a job that runs again because of it."""
-    rig = await make_rig()
-    rig.client.lost = lost
-    await rig.sweep(RETENTION_S)
-    assert await JobStore(rig.rows, 65_536, RETENTION_S, rig.clock).read_state(
+    harness = await make_rig()
+    harness.client.lost = lost
+    await harness.sweep(RETENTION_S)
+    assert await JobStore(harness.rows, 65_536, RETENTION_S, harness.clock).read_state(
         JOB_ID, TEAM, QUEUE
     ) in {JobState.COMPLETE, None}
     if taken_over:
-        await rig.take_over()
-        assert not rig.board.jobs
-    await rig.sweep()
-    await rig.sweep()
-    assert (rig.client.count(), len(rig.board.jobs)) == (0, 0)
+        await harness.take_over()
+        assert not harness.board.jobs
+    await harness.sweep()
+    await harness.sweep()
+    assert (harness.client.count(), len(harness.board.jobs)) == (0, 0)
 
 
 @pytest.mark.parametrize('told', [False, True])
@@ -205,39 +205,39 @@
     told: bool, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against a new job under an old id that is removed or never started."""
-    rig = await make_rig()
-    rig.client.lost = 3
-    await rig.sweep(RETENTION_S)
-    store = JobStore(rig.rows, 65_536, RETENTION_S, rig.clock)
+    harness = await make_rig()
+    harness.client.lost = 3
+    await harness.sweep(RETENTION_S)
+    store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.accept(make_job(), lambda: True)
-    version = rig.client.store.version
+    version = harness.client.store.version
     change = RowChange(TABLE_PROGRESS, JOB_ID, encode_progress(Progress(JobState.RUNNING)), 0)
-    await rig.rows.commit(find_progress_part(JOB_ID), [change])
+    await harness.rows.commit(find_progress_part(JOB_ID), [change])
     for _ in range(2):
         if told:
-            rig.retention.record_accepted(JOB_ID, version)
-            rig.board.add_job(make_job(), Progress(), 0, reconciled=True)
-        await rig.sweep(2 * RETENTION_S)
-    assert rig.client.count() == 2
-    assert (JOB_ID in rig.board.open_jobs) is told
+            harness.retention.record_accepted(JOB_ID, version)
+            harness.board.add_job(make_job(), Progress(), 0, reconciled=True)
+        await harness.sweep(2 * RETENTION_S)
+    assert harness.client.count() == 2
+    assert (JOB_ID in harness.board.open_jobs) is told
 
 
 async def test_id_used_anew_during_a_takeover(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a holder that clears the progress of a new job for the one it read of."""
-    rig = await make_rig()
-    rig.client.lost = 1
-    await rig.sweep(RETENTION_S)
-    former = rig.retention
-    await rig.take_over()
+    harness = await make_rig()
+    harness.client.lost = 1
+    await harness.sweep(RETENTION_S)
+    former = harness.retention
+    await harness.take_over()
     for _ in range(2):
         await former.sweep()
-    store = JobStore(rig.rows, 65_536, RETENTION_S, rig.clock)
+    store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.accept(make_job(), lambda: True)
     change = RowChange(TABLE_PROGRESS, JOB_ID, encode_progress(Progress(JobState.RUNNING)), 0)
-    await rig.rows.commit(find_progress_part(JOB_ID), [change])
+    await harness.rows.commit(find_progress_part(JOB_ID), [change])
     for _ in range(2):
-        await rig.sweep()
-    assert rig.client.count() == 2
+        await harness.sweep()
+    assert harness.client.count() == 2
 
 
 @pytest.mark.parametrize('state', [JobState.COMPLETE, JobState.QUEUED])
@@ -245,14 +245,14 @@
     state: JobState, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against a node that tells of a removed job what it remembers of it."""
-    rig = await make_rig(state)
-    store = JobStore(rig.rows, 65_536, RETENTION_S, rig.clock)
+    harness = await make_rig(state)
+    store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.read_state(JOB_ID, TEAM, QUEUE) is state
-    rig.board.jobs[JOB_ID].progress.state = JobState.COMPLETE
-    rig.board.open_jobs.clear()
-    await rig.sweep()
-    await rig.sweep(RETENTION_S)
-    assert rig.client.count() == 0
+    harness.board.jobs[JOB_ID].progress.state = JobState.COMPLETE
+    harness.board.open_jobs.clear()
+    await harness.sweep()
+    await harness.sweep(RETENTION_S)
+    assert harness.client.count() == 0
     assert await store.read_state(JOB_ID, TEAM, QUEUE) is None
     assert await store.cancel(JOB_ID, TEAM, QUEUE) is None
 
@@ -272,10 +272,10 @@
 
 async def test_removed_between_two_readings(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a job that is told as queued because its progress is gone already."""
-    rig = Rig()
-    rig.rows = rig.client = RemovingRows()
-    await rig.store_job()
-    store = JobStore(rig.rows, 65_536, RETENTION_S, rig.clock)
+    harness = Rig()
+    harness.rows = harness.client = RemovingRows()
+    await harness.store_job()
+    store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.read_state(JOB_ID, TEAM, QUEUE) is None
 
 
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -21,9 +21,9 @@
 class FakeTarget:
     """Answers holds with an empty list until it falls silent or is replaced."""
 
-    def __init__(self, rig: SchedulerHarness) -> None:
+    def __init__(self, harness: SchedulerHarness) -> None:
         """Answer for the runs that the board has on t0."""
-        self.rig = rig
+        self.harness = harness
         self.failure: Exception | None = None
         self.expiries: list[int | None] = []
 
@@ -60,12 +60,12 @@
         await trio.sleep(0.01)
 
 
-def make_link(rig: SchedulerHarness, client: Any) -> TargetLink:
+def make_link(harness: SchedulerHarness, client: Any) -> TargetLink:
     """Return the link of target t0."""
     return TargetLink(
-        rig.board.targets['t0'],
+        harness.board.targets['t0'],
         cast('TargetClient', client),
-        rig.board,
+        harness.board,
         cast('ProgressJournal', NoJournal()),
         cast('TermKeeper', ValidTerm()),
         TrioClock(),
@@ -75,13 +75,13 @@
     )
 
 
-async def start_run(nursery: trio.Nursery, rig: SchedulerHarness, client: FakeTarget) -> Order:
+async def start_run(nursery: trio.Nursery, harness: SchedulerHarness, client: FakeTarget) -> Order:
     """Run the link of a target, and order a run that no report has to show; return the order."""
-    link = make_link(rig, client)
+    link = make_link(harness, client)
     nursery.start_soon(link.run)
     await trio.sleep(0.5)
-    (order,) = rig.plan()
-    rig.board.targets['t0'].runs[order.key].last_answer_s = float('inf')
+    (order,) = harness.plan()
+    harness.board.targets['t0'].runs[order.key].last_answer_s = float('inf')
     link.wake()
     return order
 
@@ -98,31 +98,31 @@
     Seen on prevoz-plan mix, seed 726267510281: each look at a target that had left moved the end of
     its lease on, so that its runs never lapsed.
     """
-    rig = SchedulerHarness(targets=1)
-    rig.add_job()
-    client = FakeTarget(rig)
+    harness = SchedulerHarness(targets=1)
+    harness.add_job()
+    client = FakeTarget(harness)
     async with trio.open_nursery() as nursery:
-        order = await start_run(nursery, rig, client)
+        order = await start_run(nursery, harness, client)
         await trio.sleep(0.5)
         client.failure = failure
         with trio.fail_after(limit_s):
-            while rig.board.targets['t0'].runs:
+            while harness.board.targets['t0'].runs:
                 await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    assert list(rig.board.jobs[order.key.job_id].waiting) == [order.key]
+    assert list(harness.board.jobs[order.key.job_id].waiting) == [order.key]
 
 
 async def test_lease_outlasts_silence(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a second run while the first may still hold its lease."""
-    rig = SchedulerHarness(targets=1)
-    rig.add_job()
-    client = FakeTarget(rig)
+    harness = SchedulerHarness(targets=1)
+    harness.add_job()
+    client = FakeTarget(harness)
     async with trio.open_nursery() as nursery:
-        await start_run(nursery, rig, client)
+        await start_run(nursery, harness, client)
         await trio.sleep(1.5)
         client.failure = TargetSilentError('silent')
         last_expiry_s = max(expiry or 0 for expiry in client.expiries) / 1000
-        while rig.board.targets['t0'].runs:
+        while harness.board.targets['t0'].runs:
             assert trio.current_time() < last_expiry_s + 10
             await trio.sleep(0.1)
         assert trio.current_time() > last_expiry_s * 1.02
@@ -144,9 +144,9 @@
 class SilentTarget(FakeTarget):
     """Never answers, and notes when it was asked."""
 
-    def __init__(self, rig: SchedulerHarness) -> None:
+    def __init__(self, harness: SchedulerHarness) -> None:
         """Start without a call."""
-        super().__init__(rig)
+        super().__init__(harness)
         self.asked_s: list[float] = []
 
     async def hold(
@@ -163,24 +163,24 @@
     Pattern: exponential backoff. Seen on prevoz-plan-large quiet-1: 1,728 moves left as many links
     that tried to connect three times a second until the entry and the lease were gone.
     """
-    rig = SchedulerHarness(targets=1)
-    client = SilentTarget(rig)
-    rig.board.targets['t0'].leaving = True
-    rig.board.targets['t0'].lease_end_s = trio.current_time() + 6
+    harness = SchedulerHarness(targets=1)
+    client = SilentTarget(harness)
+    harness.board.targets['t0'].leaving = True
+    harness.board.targets['t0'].lease_end_s = trio.current_time() + 6
     with trio.fail_after(10):
-        await make_link(rig, client).run()
+        await make_link(harness, client).run()
     assert len(client.asked_s) <= 7
 
 
 async def test_looks_at_silent_runs(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a target with runs that is found late when it answers again."""
-    rig = SchedulerHarness(targets=1)
-    rig.add_job()
-    rig.start()
-    client = SilentTarget(rig)
-    rig.board.targets['t0'].lease_end_s = trio.current_time() + 6
+    harness = SchedulerHarness(targets=1)
+    harness.add_job()
+    harness.start()
+    client = SilentTarget(harness)
+    harness.board.targets['t0'].lease_end_s = trio.current_time() + 6
     with trio.move_on_after(5):
-        await make_link(rig, client).run()
+        await make_link(harness, client).run()
     gaps_s = [later - earlier for earlier, later in itertools.pairwise(client.asked_s)]
     assert max(gaps_s) < 0.5
 
@@ -190,11 +190,11 @@
 )
 def test_wait_for_report(lasting: int, at_work: int, wait_ms: int) -> None:
     """Guards against lasting tasks that are seen at work a second late, which holds up upkeep."""
-    rig = SchedulerHarness(targets=1)
-    rig.add_job()
-    (order,) = rig.start()
-    run = rig.board.targets['t0'].runs[order.key]
+    harness = SchedulerHarness(targets=1)
+    harness.add_job()
+    (order,) = harness.start()
+    run = harness.board.targets['t0'].runs[order.key]
     run.lasting, run.at_work = bool(lasting), bool(at_work)
-    link = make_link(rig, FakeTarget(rig))
+    link = make_link(harness, FakeTarget(harness))
     link._clock_offset_ms = 0
     assert link._choose_wait_ms() == wait_ms
--- a/tests/scheduling/test_target_registry.py
+++ b/tests/scheduling/test_target_registry.py
@@ -52,46 +52,50 @@
         return decode_registry(self.payload)
 
 
-def start_roster(nursery: trio.Nursery, rig: SchedulerHarness, store: SlowStore) -> TargetRegistry:
+def start_roster(
+    nursery: trio.Nursery, harness: SchedulerHarness, store: SlowStore
+) -> TargetRegistry:
     """Run the roster of the board and let it see the targets."""
     rows = cast('RowsClient', store)
-    registry = TargetRegistry(rows, rig.board, TrioClock(), lambda: None, lambda: store.permitted)
+    registry = TargetRegistry(
+        rows, harness.board, TrioClock(), lambda: None, lambda: store.permitted
+    )
     nursery.start_soon(registry.run)
     registry.update()
     return registry
 
 
-def add_new_target(rig: SchedulerHarness, name: str) -> None:
+def add_new_target(harness: SchedulerHarness, name: str) -> None:
     """Register a target that has reported and is not in the row yet."""
-    rig.add_target(name)
-    rig.board.targets[name].in_registry = False
+    harness.add_target(name)
+    harness.board.targets[name].in_registry = False
 
 
 async def test_work_goes_on(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against plans that wait for a slow store whenever a target registers."""
-    rig, store = SchedulerHarness(targets=1, cpu=1000), SlowStore()
-    rig.add_job()
-    rig.add_job(make_job(job_id=OTHER_JOB_ID))
+    harness, store = SchedulerHarness(targets=1, cpu=1000), SlowStore()
+    harness.add_job()
+    harness.add_job(make_job(job_id=OTHER_JOB_ID))
     async with trio.open_nursery() as nursery:
-        add_new_target(rig, 'late')
-        start_roster(nursery, rig, store)
+        add_new_target(harness, 'late')
+        start_roster(nursery, harness, store)
         await trio.sleep(0.1)
-        assert [order.target_id for order in rig.start()] == ['t0']
-        assert not rig.plan()
+        assert [order.target_id for order in harness.start()] == ['t0']
+        assert not harness.plan()
         await trio.sleep(COMMIT_S)
         assert store.list_names() == {'t0', 'late'}
-        assert [order.target_id for order in rig.start()] == ['late']
+        assert [order.target_id for order in harness.start()] == ['late']
         nursery.cancel_scope.cancel()
 
 
 async def test_lost_answers(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a target that never gets work because the answer to its write was lost."""
-    rig, store = SchedulerHarness(targets=0), SlowStore()
+    harness, store = SchedulerHarness(targets=0), SlowStore()
     store.faults = [StoreUnavailableError('lost'), StoreUnavailableError('lost')]
-    add_new_target(rig, 'late')
+    add_new_target(harness, 'late')
     async with trio.open_nursery() as nursery:
-        start_roster(nursery, rig, store)
-        while not rig.board.targets['late'].in_registry:
+        start_roster(nursery, harness, store)
+        while not harness.board.targets['late'].in_registry:
             await trio.sleep(0.01)
             assert trio.current_time() < 6 * (COMMIT_S + RETRY_S)
         assert store.list_names() == {'late'}
@@ -100,19 +104,19 @@
 
 async def test_target_leaves_the_row(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a start on a target while a row without it is being written."""
-    rig, store = SchedulerHarness(targets=0), SlowStore()
-    add_new_target(rig, 'late')
+    harness, store = SchedulerHarness(targets=0), SlowStore()
+    add_new_target(harness, 'late')
     async with trio.open_nursery() as nursery:
-        registry = start_roster(nursery, rig, store)
+        registry = start_roster(nursery, harness, store)
         await trio.sleep(COMMIT_S + SHRINK_INTERVAL_S)
-        record = rig.board.targets['late']
+        record = harness.board.targets['late']
         record.silent = True
         registry.update()
         await trio.sleep(0.1)
         record.silent = False
-        assert not record.may_start(rig.now_s)
+        assert not record.may_start(harness.now_s)
         with trio.fail_after(5 * COMMIT_S):
-            while not record.may_start(rig.now_s):
+            while not record.may_start(harness.now_s):
                 registry.update()
                 await trio.sleep(0.1)
         assert store.list_names() == {'late'}
@@ -124,14 +128,14 @@
 
     A conflict shows it the version of that row, with which the next attempt would succeed.
     """
-    rig, store = SchedulerHarness(targets=0), SlowStore()
-    add_new_target(rig, 'late')
+    harness, store = SchedulerHarness(targets=0), SlowStore()
+    add_new_target(harness, 'late')
     async with trio.open_nursery() as nursery:
-        start_roster(nursery, rig, store)
+        start_roster(nursery, harness, store)
         await trio.sleep(COMMIT_S / 2)
         store.payload, store.version = encode_registry(frozenset(('theirs',))), 7
         store.permitted = False
         await trio.sleep(5 * COMMIT_S)
         assert store.list_names() == {'theirs'}
-        assert not rig.board.targets['late'].in_registry
+        assert not harness.board.targets['late'].in_registry
         nursery.cancel_scope.cancel()
