--- a/comfreywind/lab/worth.py
+++ b/comfreywind/lab/worth.py
@@ -24,10 +24,12 @@
         _count(outcome, arrival, LATE_PART if within else 0)
 
 
-def note_unfinished(outcome: Outcome, arrivals: Iterable[Arrival], board: SchedulerState) -> None:
+def note_unfinished(
+    outcome: Outcome, arrivals: Iterable[Arrival], scheduler_state: SchedulerState
+) -> None:
     """Count the jobs that did not end."""
     for arrival in arrivals:
-        record = board.jobs.get(arrival.job.job_id)
+        record = scheduler_state.jobs.get(arrival.job.job_id)
         if record is None or record.open:
             outcome.unfinished += 1
             _count(outcome, arrival, 0)
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -21,13 +21,13 @@
 class DemandWatch:
     """Follows the demand for all pools; times in seconds are on the holder's steady clock."""
 
-    def __init__(self, board: SchedulerState, policy: PoolPolicy) -> None:
+    def __init__(self, scheduler_state: SchedulerState, policy: PoolPolicy) -> None:
         """Watch the jobs of the board; those that are there already belong to `recall`."""
-        self._state = board
+        self._state = scheduler_state
         self._policy = policy
         self._surges: dict[str, SurgeMemory] = {}
         self._trends: dict[str, DemandTrend] = {}
-        self._seen_jobs_count = board.added_jobs_count
+        self._seen_jobs_count = scheduler_state.added_jobs_count
 
     def recall(self, now_s: float, now_ms: float) -> None:
         """Learn from the jobs on the board which turns of demand earlier holders have met."""
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -84,9 +84,9 @@
         self._rules = rules
         self._keeper = keeper
         self._clock = clock
-        self.board = SchedulerState(term.epoch)
-        self._planner = Planner(self.board, metrics=metrics)
-        self.journal = ProgressJournal(rows, self.board)
+        self.scheduler_state = SchedulerState(term.epoch)
+        self._planner = Planner(self.scheduler_state, metrics=metrics)
+        self.journal = ProgressJournal(rows, self.scheduler_state)
         self._turns = OrderTurns(rows, term, settings.timings.order_turn_s, clock)
         self._links: dict[str, TargetLink] = {}
         self._nursery: trio.Nursery | None = None
@@ -95,15 +95,15 @@
         self._progress_loaded = trio.Event()
         self._unreadable_jobs: set[str] = set()
         self._registry = TargetRegistry(
-            rows, self.board, clock, self._wake_planner, self._may_order
+            rows, self.scheduler_state, clock, self._wake_planner, self._may_order
         )
         self._settlement = Reconciliation(
-            term, rows, self.board, self.journal, self._registry, clock, self._is_dead
+            term, rows, self.scheduler_state, self.journal, self._registry, clock, self._is_dead
         )
         self._watch: VmWatch | None = None
         self._retention = JobRetention(
             rows,
-            self.board,
+            self.scheduler_state,
             settings.timings.status_retention_s + RETENTION_MARGIN_S,
             clock,
             self._may_order,
@@ -142,8 +142,8 @@
             log.info(
                 'term %d: %d jobs, %d targets',
                 self._term.epoch,
-                len(self.board.jobs),
-                len(self.board.targets),
+                len(self.scheduler_state.jobs),
+                len(self.scheduler_state.targets),
             )
             self._start('tick', self._tick)
             self._start('levels', self._note_levels)
@@ -212,7 +212,7 @@
 
     def _start_vm_tasks(self, address: Address) -> None:
         client = VmClient(address, self._may_order_vm)
-        self._watch = VmWatch(client, self.board, self._clock)
+        self._watch = VmWatch(client, self.scheduler_state, self._clock)
         upkeep = self._make_upkeep(client, self._watch)
         pools = self._make_pools(client, self._watch)
         self._start('upkeep', upkeep.run)
@@ -231,7 +231,9 @@
         """Return whether the list of VMs could tell that runs have ended with their VM."""
         if not self._settlement.done:
             return True
-        return any(record.silent and record.runs for record in self.board.targets.values())
+        return any(
+            record.silent and record.runs for record in self.scheduler_state.targets.values()
+        )
 
     def _make_pools(self, client: VmClient, watch: VmWatch) -> PoolKeeper:
         return PoolKeeper(
@@ -242,7 +244,7 @@
             watch,
             self._rules,
             self._keeper,
-            PoolSizer(self.board, USUAL_POLICY, self._turns.is_open),
+            PoolSizer(self.scheduler_state, USUAL_POLICY, self._turns.is_open),
             self._clock,
         )
 
@@ -259,7 +261,7 @@
             watch,
             self._rules,
             self._keeper,
-            self.board,
+            self.scheduler_state,
             self._clock,
             self.publish,
         )
@@ -271,7 +273,7 @@
             self._retention.record_removed(row.key)
             return
         if row.key.endswith(CANCEL_SUFFIX):
-            self.board.cancel_job(row.key.removesuffix(CANCEL_SUFFIX))
+            self.scheduler_state.cancel_job(row.key.removesuffix(CANCEL_SUFFIX))
             self._wake.set()
             return
         try:
@@ -288,19 +290,21 @@
             return
         new = row.version > self._term.taken_version
         self._retention.record_accepted(row.key, row.version)
-        self.board.add_job(accepted, progress, version, reconciled=new or self._settlement.done)
+        self.scheduler_state.add_job(
+            accepted, progress, version, reconciled=new or self._settlement.done
+        )
         self._wake.set()
 
     # Targets
 
     def _note_listed(self, rows: tuple[StoredRow, ...]) -> None:
         listed = {row.key for row in rows}
-        for target_id, record in self.board.targets.items():
+        for target_id, record in self.scheduler_state.targets.items():
             if target_id not in listed:
                 record.leaving = True
 
     def _take_target(self, row: StoredRow) -> None:
-        record = self.board.targets.get(row.key)
+        record = self.scheduler_state.targets.get(row.key)
         if row.payload is None:
             if record is not None:
                 log.info('target %s: its entry is gone', row.key)
@@ -310,20 +314,20 @@
         if entry is None:
             return
         if record is None or record.entry != entry or record.leaving:
-            record = self.board.register_target(entry, self._clock.read_monotonic_s())
+            record = self.scheduler_state.register_target(entry, self._clock.read_monotonic_s())
             record.leaving = False
             self._wake.set()
         if row.key not in self._links:
             self._start_link(row.key)
 
     def _start_link(self, target_id: str) -> None:
-        record = self.board.targets[target_id]
+        record = self.scheduler_state.targets[target_id]
         if self._nursery is None:
             return
         link = TargetLink(
             record,
             TargetClient(target_id, record.entry.address, MAX_HOLD_WAIT_S, self._may_order),
-            self.board,
+            self.scheduler_state,
             self.journal,
             self._keeper,
             self._clock,
@@ -337,16 +341,16 @@
     async def _run_link(self, target_id: str, link: TargetLink) -> None:
         await link.run()
         del self._links[target_id]
-        record = self.board.targets.get(target_id)
+        record = self.scheduler_state.targets.get(target_id)
         if record is not None and record.leaving and not record.runs:
-            del self.board.targets[target_id]
+            del self.scheduler_state.targets[target_id]
 
     # Planning
 
     async def _tick(self) -> None:
         while True:
             await trio.sleep(TICK_S)
-            self._keeper.published_pending = self.board.count_pending()
+            self._keeper.published_pending = self.scheduler_state.count_pending()
             self._wake.set()
 
     async def _note_levels(self) -> None:
@@ -355,11 +359,12 @@
             self._set_levels()
 
     def _set_levels(self) -> None:
-        targets = self.board.targets.values()
-        self._metrics.set_level('jobs.open', len(self.board.open_jobs))
-        self._metrics.set_level('jobs.kept', len(self.board.jobs))
+        targets = self.scheduler_state.targets.values()
+        self._metrics.set_level('jobs.open', len(self.scheduler_state.open_jobs))
+        self._metrics.set_level('jobs.kept', len(self.scheduler_state.jobs))
         self._metrics.set_level(
-            'tasks.waiting', sum(len(record.waiting) for record in self.board.open_jobs.values())
+            'tasks.waiting',
+            sum(len(record.waiting) for record in self.scheduler_state.open_jobs.values()),
         )
         self._metrics.set_level('runs', sum(len(target.runs) for target in targets))
         self._metrics.set_level('targets', len(targets))
@@ -382,9 +387,9 @@
         now_s = self._clock.read_monotonic_s()
         now_ms = self._clock.read_utc().timestamp() * MS_PER_S
         if self._rules.rules is not None:
-            self.board.rules = self._rules.rules
-        self._send(self.board.stop_closed_jobs(now_s))
-        self._send(self.board.stop_broken_gangs(now_s))
+            self.scheduler_state.rules = self._rules.rules
+        self._send(self.scheduler_state.stop_closed_jobs(now_s))
+        self._send(self.scheduler_state.stop_broken_gangs(now_s))
         self._send(self._planner.plan(now_s, now_ms))
-        if self.board.changed_jobs:
+        if self.scheduler_state.changed_jobs:
             self.journal.wake()
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -48,14 +48,14 @@
     def __init__(
         self,
         rows: RowsClient,
-        board: SchedulerState,
+        scheduler_state: SchedulerState,
         retention_s: float,
         clock: Clock,
         permit: Permit,
     ) -> None:
         """Use the store's client; nothing is changed unless `permit` is True at that moment."""
         self._rows = rows
-        self._state = board
+        self._state = scheduler_state
         self._retention_s = retention_s
         self._clock = clock
         self._permit = permit
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -36,14 +36,14 @@
 
     def __init__(
         self,
-        board: SchedulerState,
+        scheduler_state: SchedulerState,
         order_work: FindTurn = find_turn,
         metrics: Metrics | None = None,
     ) -> None:
         """Plan for this board, with jobs in the order of work that the function gives."""
         self._metrics = metrics or NoMetrics()
         self._order_work = order_work
-        self._state = board
+        self._state = scheduler_state
         self._advice: dict[tuple[str, int, int], Advice] = {}
         self._questions: list[AdviceQuestion] = []
         self._refused: list[Resources] = []
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -37,18 +37,18 @@
 
     def __init__(
         self,
-        board: SchedulerState,
+        scheduler_state: SchedulerState,
         policy: PoolPolicy,
         is_open: Callable[[str], bool] = _always_open,
     ) -> None:
         """Size the pools of the board's targets; `is_open` tells which VMs may be ordered now."""
         self._is_open = is_open
-        self._state = board
+        self._state = scheduler_state
         self._policy = policy
         self._orders: dict[str, VmOrder] = {}
         self._destinations: dict[str, str] = {}
         self._surplus_since_s: dict[str, float] = {}
-        self._demand = DemandWatch(board, policy)
+        self._demand = DemandWatch(scheduler_state, policy)
         self._move_s = USUAL_MOVE_S
 
     def recall(self, now_s: float, now_ms: float) -> None:
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -54,14 +54,14 @@
         return vms
 
 
-def group_by_pool(board: SchedulerState) -> dict[str, PoolWork]:
+def group_by_pool(scheduler_state: SchedulerState) -> dict[str, PoolWork]:
     """Return the work of every pool that has targets or waiting jobs, in one pass over the board."""
     works: dict[str, PoolWork] = {}
-    for target in board.targets.values():
+    for target in scheduler_state.targets.values():
         works.setdefault(target.entry.pool, PoolWork()).targets.append(target)
-    for record in board.open_jobs.values():
+    for record in scheduler_state.open_jobs.values():
         if record.waiting:
-            works.setdefault(board.get_pool(record), PoolWork()).waiting.append(record)
+            works.setdefault(scheduler_state.get_pool(record), PoolWork()).waiting.append(record)
     return works
 
 
--- a/comfreywind/scheduling/progress_journal.py
+++ b/comfreywind/scheduling/progress_journal.py
@@ -26,10 +26,10 @@
 class ProgressJournal:
     """Stores what the board marks as changed."""
 
-    def __init__(self, rows: RowsClient, board: SchedulerState) -> None:
+    def __init__(self, rows: RowsClient, scheduler_state: SchedulerState) -> None:
         """Use the store's client and the board of the term."""
         self._rows = rows
-        self._state = board
+        self._state = scheduler_state
         self._wake = trio.Event()
         self._stored = trio.Event()
 
--- a/comfreywind/scheduling/reconciliation.py
+++ b/comfreywind/scheduling/reconciliation.py
@@ -29,7 +29,7 @@
         self,
         term: HeldTerm,
         rows: RowsClient,
-        board: SchedulerState,
+        scheduler_state: SchedulerState,
         journal: ProgressJournal,
         registry: TargetRegistry,
         clock: Clock,
@@ -38,7 +38,7 @@
         """Use the holder's parts; `is_dead` tells whether a target's life is certainly over."""
         self._term = term
         self._rows = rows
-        self._state = board
+        self._state = scheduler_state
         self._journal = journal
         self._registry = registry
         self._clock = clock
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -53,7 +53,7 @@
         self,
         record: TargetRecord,
         client: TargetClient,
-        board: SchedulerState,
+        scheduler_state: SchedulerState,
         journal: ProgressJournal,
         keeper: TermKeeper,
         clock: Clock,
@@ -65,7 +65,7 @@
         self._metrics = metrics
         self._record = record
         self._client = client
-        self._state = board
+        self._state = scheduler_state
         self._journal = journal
         self._keeper = keeper
         self._clock = clock
--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -33,7 +33,7 @@
     def __init__(
         self,
         rows: RowsClient,
-        board: SchedulerState,
+        scheduler_state: SchedulerState,
         clock: Clock,
         note_change: Callable[[], None],
         permit: Permit,
@@ -44,7 +44,7 @@
         """
         self._permit = permit
         self._rows = rows
-        self._state = board
+        self._state = scheduler_state
         self._clock = clock
         self._note_change = note_change
         self._stored: frozenset[str] = frozenset()
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -60,7 +60,7 @@
         watch: VmWatch,
         rules: RulesFollower,
         keeper: TermKeeper,
-        board: SchedulerState,
+        scheduler_state: SchedulerState,
         clock: Clock,
         publish: Callable[[list[Order]], None],
     ) -> None:
@@ -73,7 +73,7 @@
         self._watch = watch
         self._rules = rules
         self._keeper = keeper
-        self._state = board
+        self._state = scheduler_state
         self._clock = clock
         self._publish = publish
         self._orders: dict[int, dict[str, VmOrder]] = {}
--- a/comfreywind/scheduling/vm_watch.py
+++ b/comfreywind/scheduling/vm_watch.py
@@ -23,10 +23,10 @@
 class VmWatch:
     """Owns the list; `needed` says whether it has to be fresh."""
 
-    def __init__(self, client: VmClient, board: SchedulerState, clock: Clock) -> None:
+    def __init__(self, client: VmClient, scheduler_state: SchedulerState, clock: Clock) -> None:
         """Use the client of the VM service and the board of the term."""
         self._client = client
-        self._state = board
+        self._state = scheduler_state
         self._clock = clock
         self.vms: dict[str, Vm] = {}
         self.read_s = float('-inf')
--- a/tests/field_faults/test_lost_answer.py
+++ b/tests/field_faults/test_lost_answer.py
@@ -88,12 +88,12 @@
     (stop,) = rig.report(order.target_id)
     assert isinstance(stop, StopOrder)
     assert not rig.plan()
-    assert rig.board.apply_stop_answer(stop, False, rig.now_s) == [stop]
+    assert rig.scheduler_state.apply_stop_answer(stop, False, rig.now_s) == [stop]
     assert not rig.plan()
     rig.report(order.target_id, active=((order.key, order.run_id),))
     assert not rig.plan()
     rig.now_s += 1
-    rig.board.apply_stop_answer(stop, True, rig.now_s)
+    rig.scheduler_state.apply_stop_answer(stop, True, rig.now_s)
     assert not rig.plan()
     rig.now_s += 1
     rig.report(order.target_id)
--- a/tests/field_faults/test_silent_target.py
+++ b/tests/field_faults/test_silent_target.py
@@ -86,7 +86,7 @@
     with trio.move_on_after(WATCH_S):
         await make_link(rig, target).run()
     assert not target.lapsed
-    run = rig.board.targets['t0'].runs.get(target.order.key)
+    run = rig.scheduler_state.targets['t0'].runs.get(target.order.key)
     assert run is not None
     assert run.run_id == target.order.run_id
     assert not rig.plan()
@@ -100,7 +100,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(make_link(rig, target).run)
         with trio.fail_after(WATCH_S):
-            while rig.board.targets['t0'].runs:
+            while rig.scheduler_state.targets['t0'].runs:
                 await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
     assert trio.current_time() > target.lease_end_s
--- a/tests/helpers/scheduler_harness.py
+++ b/tests/helpers/scheduler_harness.py
@@ -36,9 +36,11 @@
 
     def __init__(self, targets: int = 2, cpu: int = 4000, epoch: int = 1) -> None:
         """Register the targets t0, t1, ... which have reported nothing running."""
-        self.board = SchedulerState(epoch)
-        self.planner = Planner(self.board)
-        self.board.rules = JobRules(1, queues={QUEUE.name: QUEUE}, teams={TEAM: Team(TEAM)})
+        self.scheduler_state = SchedulerState(epoch)
+        self.planner = Planner(self.scheduler_state)
+        self.scheduler_state.rules = JobRules(
+            1, queues={QUEUE.name: QUEUE}, teams={TEAM: Team(TEAM)}
+        )
         self.now_s = 100.0
         self.ends: dict[str, int] = {}
         for number in range(targets):
@@ -48,13 +50,13 @@
         """Register a target and let it report that nothing runs."""
         address = Address('127.0.0.1', 1)
         entry = TargetEntry(name, POOL, address, 'dc', False, Resources(cpu, 10_000), labels, 1)
-        self.board.register_target(entry, self.now_s).in_registry = True
+        self.scheduler_state.register_target(entry, self.now_s).in_registry = True
         self.report(name)
 
     def add_job(self, job: Job | None = None, reconciled: bool = True) -> Job:
         """Hand in a job."""
         accepted = job or make_job()
-        self.board.add_job(accepted, Progress(), 1, reconciled)
+        self.scheduler_state.add_job(accepted, Progress(), 1, reconciled)
         return accepted
 
     def plan(self) -> list[Order]:
@@ -70,7 +72,7 @@
 
     def answer(self, order: StartOrder, answer: StartAnswer) -> list[Order]:
         """Let a target answer a start."""
-        return self.board.apply_start_answer(order, answer, self.now_s)
+        return self.scheduler_state.apply_start_answer(order, answer, self.now_s)
 
     def report(
         self,
@@ -93,14 +95,14 @@
             for key, run_id in active
         )
         report = TargetReport(0, born_ms, runs, tuple(rows))
-        record = self.board.targets[target]
-        return self.board.apply_report(record, report, self.now_s, self.now_s)
+        record = self.scheduler_state.targets[target]
+        return self.scheduler_state.apply_report(record, report, self.now_s, self.now_s)
 
     def end(self, order: StartOrder, outcome: RunOutcome) -> list[Order]:
         """Let the target of a start report its end and what else it runs."""
         others = tuple(
             (run.key, run.run_id)
-            for run in self.board.targets[order.target_id].runs.values()
+            for run in self.scheduler_state.targets[order.target_id].runs.values()
             if run.key != order.key
         )
         return self.report(order.target_id, others, ((order.key, order.run_id, outcome),))
--- a/tests/scheduling/test_demand_trend.py
+++ b/tests/scheduling/test_demand_trend.py
@@ -81,16 +81,16 @@
     old = [f'ff{number:014x}' for number in range(10 * removed_each_look)]
     for job_id in old:
         rig.add_job(make_job(job_id=job_id))
-        rig.board.cancel_job(job_id)
-    watch = DemandWatch(rig.board, PoolPolicy(growth_limit=growth_limit))
+        rig.scheduler_state.cancel_job(job_id)
+    watch = DemandWatch(rig.scheduler_state, PoolPolicy(growth_limit=growth_limit))
     for look in range(10):
         # Five more jobs a second in each second, each of which fills a quarter of a VM for a second.
         for number in range(look + 1):
             job = make_job(Step(1, Resources(1000, 100)), job_id=f'{look:08x}{number:08x}')
             rig.add_job(job)
         for job_id in old[look * removed_each_look :][:removed_each_look]:
-            rig.board.drop_job(job_id)
-        watch.note_jobs(group_by_pool(rig.board), look * INTERVAL_S)
+            rig.scheduler_state.drop_job(job_id)
+        watch.note_jobs(group_by_pool(rig.scheduler_state), look * INTERVAL_S)
     load_vms = sum(range(6, 11)) / 4
     expected_vms = watch.expect_vms(POOL, load_vms, 9 * INTERVAL_S, LEAD_S)
     # The load is 10 VMs and will be 23 when VMs that are ordered now take work.
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -96,9 +96,9 @@
 
     async def take_over(self) -> None:
         """Have a new holder read the job."""
-        self.board = SchedulerState(1)
+        self.scheduler_state = SchedulerState(1)
         self.retention = JobRetention(
-            self.rows, self.board, RETENTION_S, self.clock, lambda: self.permitted
+            self.rows, self.scheduler_state, RETENTION_S, self.clock, lambda: self.permitted
         )
         accepted = self.client.read((TABLE_INTAKE, find_intake_part(JOB_ID), JOB_ID))
         progress = self.client.read((TABLE_PROGRESS, find_progress_part(JOB_ID), JOB_ID))
@@ -108,7 +108,9 @@
             self.retention.record_tombstone(JOB_ID, accepted.version, progress.version)
             return
         self.retention.record_accepted(JOB_ID, accepted.version)
-        self.board.add_job(make_job(), Progress(self.state), progress.version, reconciled=True)
+        self.scheduler_state.add_job(
+            make_job(), Progress(self.state), progress.version, reconciled=True
+        )
 
     async def store_job(self) -> None:
         """Store the job, its progress and the mark of a cancelling."""
@@ -140,9 +142,9 @@
     """Guards against jobs that are kept for ever, or for less than the users' `status_s`."""
     harness = await make_rig()
     await harness.sweep(RETENTION_S - 1)
-    assert (harness.client.count(), len(harness.board.jobs)) == (3, 1)
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (3, 1)
     await harness.sweep(1)
-    assert (harness.client.count(), len(harness.board.jobs)) == (0, 0)
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (0, 0)
 
 
 @pytest.mark.parametrize('state', [JobState.QUEUED, JobState.RUNNING])
@@ -150,7 +152,7 @@
     """Guards against the removal of a job that is not done, however old."""
     harness = await make_rig(state)
     await harness.sweep(10 * RETENTION_S)
-    assert (harness.client.count(), len(harness.board.jobs)) == (3, 1)
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (3, 1)
 
 
 async def test_former_holder(autojump_clock: trio.testing.MockClock) -> None:
@@ -174,10 +176,10 @@
 async def test_progress_written_by_a_caller(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a cancelled job that stays because its row has another version."""
     harness = await make_rig(JobState.CANCELLED)
-    harness.board.jobs[JOB_ID].progress_version = 0
+    harness.scheduler_state.jobs[JOB_ID].progress_version = 0
     await harness.sweep(RETENTION_S)
     await harness.sweep()
-    assert (harness.client.count(), len(harness.board.jobs)) == (0, 0)
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (0, 0)
 
 
 @pytest.mark.parametrize('taken_over', [False, True])
@@ -194,10 +196,10 @@
     ) in {JobState.COMPLETE, None}
     if taken_over:
         await harness.take_over()
-        assert not harness.board.jobs
+        assert not harness.scheduler_state.jobs
     await harness.sweep()
     await harness.sweep()
-    assert (harness.client.count(), len(harness.board.jobs)) == (0, 0)
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (0, 0)
 
 
 @pytest.mark.parametrize('told', [False, True])
@@ -216,10 +218,10 @@
     for _ in range(2):
         if told:
             harness.retention.record_accepted(JOB_ID, version)
-            harness.board.add_job(make_job(), Progress(), 0, reconciled=True)
+            harness.scheduler_state.add_job(make_job(), Progress(), 0, reconciled=True)
         await harness.sweep(2 * RETENTION_S)
     assert harness.client.count() == 2
-    assert (JOB_ID in harness.board.open_jobs) is told
+    assert (JOB_ID in harness.scheduler_state.open_jobs) is told
 
 
 async def test_id_used_anew_during_a_takeover(autojump_clock: trio.testing.MockClock) -> None:
@@ -248,8 +250,8 @@
     harness = await make_rig(state)
     store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.read_state(JOB_ID, TEAM, QUEUE) is state
-    harness.board.jobs[JOB_ID].progress.state = JobState.COMPLETE
-    harness.board.open_jobs.clear()
+    harness.scheduler_state.jobs[JOB_ID].progress.state = JobState.COMPLETE
+    harness.scheduler_state.open_jobs.clear()
     await harness.sweep()
     await harness.sweep(RETENTION_S)
     assert harness.client.count() == 0
--- a/tests/scheduling/test_pool_sizer.py
+++ b/tests/scheduling/test_pool_sizer.py
@@ -33,7 +33,7 @@
 def test_idle_vms_move() -> None:
     """Guards against idle VMs that are paid for."""
     rig = SchedulerHarness(targets=4)
-    assert len(choose_later(PoolSizer(rig.board, POLICY), rig)) == 3
+    assert len(choose_later(PoolSizer(rig.scheduler_state, POLICY), rig)) == 3
 
 
 @pytest.mark.parametrize('field', ['reported', 'silent'])
@@ -45,15 +45,15 @@
     """
     rig = SchedulerHarness(targets=4)
     for target in ('t0', 't1'):
-        setattr(rig.board.targets[target], field, field == 'silent')
-    moved = {move.vm for move in choose_later(PoolSizer(rig.board, POLICY), rig)}
+        setattr(rig.scheduler_state.targets[target], field, field == 'silent')
+    moved = {move.vm for move in choose_later(PoolSizer(rig.scheduler_state, POLICY), rig)}
     assert moved.isdisjoint({'vm0', 'vm1'})
 
 
 def test_closed_vms_stay() -> None:
     """Guards against a move of a VM that an earlier holder may have ordered just before."""
     rig = SchedulerHarness(targets=4)
-    sizer = PoolSizer(rig.board, POLICY, is_open=lambda vm: vm == 'vm3')
+    sizer = PoolSizer(rig.scheduler_state, POLICY, is_open=lambda vm: vm == 'vm3')
     assert choose_later(sizer, rig) == [VmMove('vm3', 'standby')]
 
 
@@ -64,9 +64,9 @@
     for number in range(8):
         rig.add_job(make_job(Step(2, Resources(1000, 100)), job_id=f'{number:016x}'))
     rig.start()
-    for record in rig.board.targets.values():
+    for record in rig.scheduler_state.targets.values():
         record.in_registry = False
-    sizer = PoolSizer(rig.board, replace(POLICY, target_fill=1))
+    sizer = PoolSizer(rig.scheduler_state, replace(POLICY, target_fill=1))
     assert not sizer.choose(POOLS, {**VMS, 'vm9': standby}, rig.now_s)
 
 
@@ -80,7 +80,7 @@
     rig.add_job(make_job(Step(8, Resources(100, 6_000), lasting=True)))
     rig.start()
     standby = Vm('vm9', 'standby', True, 'dc', frozenset(), Resources(4000, 10_000), 'off')
-    sizer = PoolSizer(rig.board, POLICY)
+    sizer = PoolSizer(rig.scheduler_state, POLICY)
     assert sizer.choose(POOLS, {**VMS, 'vm9': standby}, rig.now_s) == [VmMove('vm9', POOL)]
 
 
@@ -95,5 +95,5 @@
     assert not rig.plan()
     off = Vm('', 'standby', True, 'dc', frozenset(), Resources(4000, 10_000), 'off')
     vms = {f'off{number}': replace(off, name=f'off{number}') for number in range(4)}
-    sizer = PoolSizer(rig.board, replace(POLICY, target_fill=1))
+    sizer = PoolSizer(rig.scheduler_state, replace(POLICY, target_fill=1))
     assert len(sizer.choose(POOLS, {**VMS, **vms}, rig.now_s)) == moves
--- a/tests/scheduling/test_pools_at_size.py
+++ b/tests/scheduling/test_pools_at_size.py
@@ -36,9 +36,9 @@
     rig = SchedulerHarness(targets=4)
     rig.add_job()
     rig.start()
-    targets = CountedTargets(rig.board.targets)
-    rig.board.targets = targets
-    sizer = PoolSizer(rig.board, PoolPolicy())
+    targets = CountedTargets(rig.scheduler_state.targets)
+    rig.scheduler_state.targets = targets
+    sizer = PoolSizer(rig.scheduler_state, PoolPolicy())
     sizer.choose([Pool(f'pool-{number}') for number in range(pools)], {}, rig.now_s)
     return targets.passes
 
@@ -58,7 +58,9 @@
         job = make_job(
             Step(1, Resources(1000, 100)), job_id=f'{number:016x}', accepted_ms=accepted_ms
         )
-        rig.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, reconciled=True)
+        rig.scheduler_state.add_job(
+            job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, reconciled=True
+        )
     recalled: list[int] = []
 
     def note_job(job: past_load.Job) -> list[past_load.PastWork]:
@@ -66,5 +68,5 @@
         return past_load.list_past_work(job)
 
     monkeypatch.setattr(demand_watch, 'list_past_work', note_job)
-    PoolSizer(rig.board, PoolPolicy()).recall(rig.now_s, NOW_MS)
+    PoolSizer(rig.scheduler_state, PoolPolicy()).recall(rig.now_s, NOW_MS)
     assert recalled == [NOW_MS - 1000]
--- a/tests/scheduling/test_scheduler_state.py
+++ b/tests/scheduling/test_scheduler_state.py
@@ -56,9 +56,9 @@
     job = harness.add_job(make_job(Step(2, Resources(1000, 100))))
     first, second = harness.start()
     harness.end(first, RunOutcome.DONE)
-    assert harness.board.jobs[job.job_id].progress.state is JobState.RUNNING
+    assert harness.scheduler_state.jobs[job.job_id].progress.state is JobState.RUNNING
     harness.end(second, RunOutcome.DONE)
-    assert harness.board.jobs[job.job_id].progress.state is JobState.COMPLETE
+    assert harness.scheduler_state.jobs[job.job_id].progress.state is JobState.COMPLETE
 
 
 def test_attempt_limit() -> None:
@@ -70,7 +70,7 @@
         harness.end(harness.start()[0], RunOutcome.FAILED)
     harness.now_s += 10
     assert not harness.plan()
-    assert harness.board.jobs[job.job_id].progress.state is JobState.FAILED
+    assert harness.scheduler_state.jobs[job.job_id].progress.state is JobState.FAILED
 
 
 @pytest.mark.parametrize(
@@ -112,9 +112,9 @@
     harness.add_job()
     (order,) = harness.plan()
     assert isinstance(order, StartOrder)
-    assert harness.board.count_pending() == {QUEUE.name: 1}
+    assert harness.scheduler_state.count_pending() == {QUEUE.name: 1}
     harness.answer(order, answer)
-    assert harness.board.count_pending().get(QUEUE.name, 0) == pending
+    assert harness.scheduler_state.count_pending().get(QUEUE.name, 0) == pending
 
 
 @pytest.mark.parametrize('listed', ['active', 'ended'])
@@ -129,7 +129,7 @@
         harness.report(order.target_id, active=((order.key, order.run_id),))
     else:
         harness.report(order.target_id, ended=((order.key, order.run_id, RunOutcome.STOPPED),))
-    assert not harness.board.count_pending()
+    assert not harness.scheduler_state.count_pending()
 
 
 def test_start_without_answer() -> None:
@@ -146,7 +146,7 @@
     assert not harness.plan()
     harness.report('t0')
     assert not harness.plan()
-    harness.board.apply_stop_answer(stop, confirmed=True, now_s=harness.now_s)  # type: ignore[arg-type]
+    harness.scheduler_state.apply_stop_answer(stop, confirmed=True, now_s=harness.now_s)  # type: ignore[arg-type]
     harness.report('t0')
     (again,) = harness.start()
     assert again.run_id == 2
@@ -157,9 +157,11 @@
     harness = SchedulerHarness(targets=1)
     harness.add_job()
     harness.start()
-    harness.board.cancel_job(JOB_ID)
-    (stop,) = harness.board.stop_closed_jobs(harness.now_s)
-    assert harness.board.apply_stop_answer(stop, confirmed=False, now_s=harness.now_s) == [stop]  # type: ignore[arg-type]
+    harness.scheduler_state.cancel_job(JOB_ID)
+    (stop,) = harness.scheduler_state.stop_closed_jobs(harness.now_s)
+    assert harness.scheduler_state.apply_stop_answer(
+        stop, confirmed=False, now_s=harness.now_s
+    ) == [stop]  # type: ignore[arg-type]
 
 
 def test_adopted_run() -> None:
@@ -168,9 +170,9 @@
     harness.add_job(reconciled=False)
     assert not harness.plan()
     harness.report('t0', active=((KEY, 1),))
-    harness.board.mark_reconciled(harness.board.jobs.values())
+    harness.scheduler_state.mark_reconciled(harness.scheduler_state.jobs.values())
     assert not harness.plan()
-    assert harness.board.jobs[JOB_ID].runs[KEY].state is RunState.RUNNING
+    assert harness.scheduler_state.jobs[JOB_ID].runs[KEY].state is RunState.RUNNING
 
 
 @pytest.mark.parametrize('case', ['cancelled', 'unknown', 'done', 'elsewhere'])
@@ -179,9 +181,9 @@
     harness = SchedulerHarness(epoch=2)
     if case != 'unknown':
         progress = Progress(done={(0, 0, 0)}) if case == 'done' else Progress()
-        harness.board.add_job(make_job(), progress, 1, reconciled=True)
+        harness.scheduler_state.add_job(make_job(), progress, 1, reconciled=True)
     if case == 'cancelled':
-        harness.board.cancel_job(JOB_ID)
+        harness.scheduler_state.cancel_job(JOB_ID)
     if case == 'elsewhere':
         harness.report('t1', active=((KEY, 2),))
     assert list_stops(harness.report('t0', active=((KEY, 1),))) == [(KEY, 1)]
@@ -200,7 +202,7 @@
 def test_cancel_before_job() -> None:
     """Guards against a job that starts because its cancelling was read before it."""
     harness = SchedulerHarness()
-    harness.board.cancel_job(JOB_ID)
+    harness.scheduler_state.cancel_job(JOB_ID)
     harness.add_job()
     assert not harness.plan()
 
@@ -208,10 +210,10 @@
 def test_ceiling() -> None:
     """Guards against a team that runs more than its ceiling, stops under way included."""
     harness = SchedulerHarness()
-    harness.board.rules.teams[TEAM] = Team(TEAM, ceiling=Resources(cpu_millicores=2500))
+    harness.scheduler_state.rules.teams[TEAM] = Team(TEAM, ceiling=Resources(cpu_millicores=2500))
     harness.add_job(make_job(Step(4, Resources(1000, 100))))
     assert len(harness.start()) == 2
-    harness.board.stop_job_runs(harness.board.jobs[JOB_ID], harness.now_s)
+    harness.scheduler_state.stop_job_runs(harness.scheduler_state.jobs[JOB_ID], harness.now_s)
     assert not harness.plan()
 
 
@@ -252,14 +254,14 @@
     first, second = harness.start()
     for order in (first, second):
         harness.report(order.target_id, active=((order.key, order.run_id),))
-    board = harness.board
-    board.apply_vm_order(board.targets[first.target_id])
+    scheduler_state = harness.scheduler_state
+    scheduler_state.apply_vm_order(scheduler_state.targets[first.target_id])
     harness.report(first.target_id, active=((first.key, first.run_id),))
-    (health,) = board.list_step_health(board.targets[second.target_id])
+    (health,) = scheduler_state.list_step_health(scheduler_state.targets[second.target_id])
     assert health.away == 1
-    board.revert_vm_order(board.targets[first.target_id])
+    scheduler_state.revert_vm_order(scheduler_state.targets[first.target_id])
     harness.report(first.target_id, active=((first.key, first.run_id),))
-    (health,) = board.list_step_health(board.targets[second.target_id])
+    (health,) = scheduler_state.list_step_health(scheduler_state.targets[second.target_id])
     assert health.away == 0
 
 
@@ -271,7 +273,7 @@
     harness = SchedulerHarness(targets=1, cpu=2000)
     harness.add_job(make_job(GANG))
     assert not harness.plan()
-    assert harness.board.targets['t0'].used == Resources()
+    assert harness.scheduler_state.targets['t0'].used == Resources()
     harness.add_target('t1', cpu=2000)
     assert {order.run_id for order in harness.start()} == {1}
 
@@ -285,7 +287,7 @@
     for order in others:
         harness.answer(order, StartAnswer.STARTED)  # type: ignore[arg-type]
     harness.now_s += 1
-    stops = list_stops(harness.board.stop_broken_gangs(harness.now_s))
+    stops = list_stops(harness.scheduler_state.stop_broken_gangs(harness.now_s))
     assert [key.number for key, _ in stops] == [1, 2]
     assert not harness.plan()
     for order in others:
@@ -298,7 +300,7 @@
     harness = SchedulerHarness()
     harness.add_job(make_job(GANG))
     harness.end(harness.start()[1], RunOutcome.DONE)
-    assert harness.board.jobs[JOB_ID].progress.state is JobState.COMPLETE
+    assert harness.scheduler_state.jobs[JOB_ID].progress.state is JobState.COMPLETE
 
 
 def test_gang_in_one_rack() -> None:
@@ -415,7 +417,7 @@
     harness.add_job(make_job(Step(6, Resources(100, 10))))
     for order in harness.start()[:2]:
         harness.end(order, RunOutcome.FAILED)
-    for key, run in list(harness.board.targets['t0'].runs.items()):
+    for key, run in list(harness.scheduler_state.targets['t0'].runs.items()):
         harness.report('t0', ended=((key, run.run_id, RunOutcome.STOPPED),))
     harness.now_s += 10
     assert len(harness.start()) == 1
@@ -437,9 +439,11 @@
     """
     harness = SchedulerHarness(epoch=2)
     stored = Progress(failures={(0, 0, 0): {1, 2}})
-    harness.board.add_job(make_job(), decode_progress(encode_progress(stored)), 1, reconciled=True)
+    harness.scheduler_state.add_job(
+        make_job(), decode_progress(encode_progress(stored)), 1, reconciled=True
+    )
     harness.report('t0', ended=((KEY, 2, RunOutcome.FAILED),))
-    assert harness.board.jobs[JOB_ID].open
+    assert harness.scheduler_state.jobs[JOB_ID].open
     (order,) = harness.start()
     harness.end(order, RunOutcome.FAILED)
-    assert harness.board.jobs[JOB_ID].progress.state is JobState.FAILED
+    assert harness.scheduler_state.jobs[JOB_ID].progress.state is JobState.FAILED
--- a/tests/scheduling/test_surges_across_holders.py
+++ b/tests/scheduling/test_surges_across_holders.py
@@ -39,7 +39,9 @@
             job_id=f'{number:016x}',
             accepted_ms=NOW_MS - ago_ms,
         )
-        rig.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, reconciled=True)
+        rig.scheduler_state.add_job(
+            job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, reconciled=True
+        )
 
 
 @pytest.mark.parametrize(
@@ -53,7 +55,7 @@
     """Guards against a pool that grows only step by step in the turn after a change of the holder."""
     rig = SchedulerHarness(targets=4)
     add_ended_turn(rig, ago_ms)
-    sizer = PoolSizer(rig.board, POLICY)
+    sizer = PoolSizer(rig.scheduler_state, POLICY)
     sizer.recall(rig.now_s, NOW_MS)
     sizer.choose(POOLS, make_vms(), rig.now_s)
     rig.now_s += 1
@@ -68,7 +70,7 @@
     """Guards against the end of a turn that is taken for the begin of another one."""
     rig = SchedulerHarness(targets=4)
     add_ended_turn(rig, 100)
-    sizer = PoolSizer(rig.board, POLICY)
+    sizer = PoolSizer(rig.scheduler_state, POLICY)
     sizer.recall(rig.now_s, NOW_MS)
     moves = sizer.choose(POOLS, make_vms(), rig.now_s)
     assert [move for move in moves if move.pool == POOL] == []
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -63,9 +63,9 @@
 def make_link(harness: SchedulerHarness, client: Any) -> TargetLink:
     """Return the link of target t0."""
     return TargetLink(
-        harness.board.targets['t0'],
+        harness.scheduler_state.targets['t0'],
         cast('TargetClient', client),
-        harness.board,
+        harness.scheduler_state,
         cast('ProgressJournal', NoJournal()),
         cast('TermKeeper', ValidTerm()),
         TrioClock(),
@@ -81,7 +81,7 @@
     nursery.start_soon(link.run)
     await trio.sleep(0.5)
     (order,) = harness.plan()
-    harness.board.targets['t0'].runs[order.key].last_answer_s = float('inf')
+    harness.scheduler_state.targets['t0'].runs[order.key].last_answer_s = float('inf')
     link.wake()
     return order
 
@@ -106,10 +106,10 @@
         await trio.sleep(0.5)
         client.failure = failure
         with trio.fail_after(limit_s):
-            while harness.board.targets['t0'].runs:
+            while harness.scheduler_state.targets['t0'].runs:
                 await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    assert list(harness.board.jobs[order.key.job_id].waiting) == [order.key]
+    assert list(harness.scheduler_state.jobs[order.key.job_id].waiting) == [order.key]
 
 
 async def test_lease_outlasts_silence(autojump_clock: trio.testing.MockClock) -> None:
@@ -122,7 +122,7 @@
         await trio.sleep(1.5)
         client.failure = TargetSilentError('silent')
         last_expiry_s = max(expiry or 0 for expiry in client.expiries) / 1000
-        while harness.board.targets['t0'].runs:
+        while harness.scheduler_state.targets['t0'].runs:
             assert trio.current_time() < last_expiry_s + 10
             await trio.sleep(0.1)
         assert trio.current_time() > last_expiry_s * 1.02
@@ -165,8 +165,8 @@
     """
     harness = SchedulerHarness(targets=1)
     client = SilentTarget(harness)
-    harness.board.targets['t0'].leaving = True
-    harness.board.targets['t0'].lease_end_s = trio.current_time() + 6
+    harness.scheduler_state.targets['t0'].leaving = True
+    harness.scheduler_state.targets['t0'].lease_end_s = trio.current_time() + 6
     with trio.fail_after(10):
         await make_link(harness, client).run()
     assert len(client.asked_s) <= 7
@@ -178,7 +178,7 @@
     harness.add_job()
     harness.start()
     client = SilentTarget(harness)
-    harness.board.targets['t0'].lease_end_s = trio.current_time() + 6
+    harness.scheduler_state.targets['t0'].lease_end_s = trio.current_time() + 6
     with trio.move_on_after(5):
         await make_link(harness, client).run()
     gaps_s = [later - earlier for earlier, later in itertools.pairwise(client.asked_s)]
@@ -193,7 +193,7 @@
     harness = SchedulerHarness(targets=1)
     harness.add_job()
     (order,) = harness.start()
-    run = harness.board.targets['t0'].runs[order.key]
+    run = harness.scheduler_state.targets['t0'].runs[order.key]
     run.lasting, run.at_work = bool(lasting), bool(at_work)
     link = make_link(harness, FakeTarget(harness))
     link._clock_offset_ms = 0
--- a/tests/scheduling/test_target_registry.py
+++ b/tests/scheduling/test_target_registry.py
@@ -58,7 +58,7 @@
     """Run the roster of the board and let it see the targets."""
     rows = cast('RowsClient', store)
     registry = TargetRegistry(
-        rows, harness.board, TrioClock(), lambda: None, lambda: store.permitted
+        rows, harness.scheduler_state, TrioClock(), lambda: None, lambda: store.permitted
     )
     nursery.start_soon(registry.run)
     registry.update()
@@ -68,7 +68,7 @@
 def add_new_target(harness: SchedulerHarness, name: str) -> None:
     """Register a target that has reported and is not in the row yet."""
     harness.add_target(name)
-    harness.board.targets[name].in_registry = False
+    harness.scheduler_state.targets[name].in_registry = False
 
 
 async def test_work_goes_on(autojump_clock: trio.testing.MockClock) -> None:
@@ -95,7 +95,7 @@
     add_new_target(harness, 'late')
     async with trio.open_nursery() as nursery:
         start_roster(nursery, harness, store)
-        while not harness.board.targets['late'].in_registry:
+        while not harness.scheduler_state.targets['late'].in_registry:
             await trio.sleep(0.01)
             assert trio.current_time() < 6 * (COMMIT_S + RETRY_S)
         assert store.list_names() == {'late'}
@@ -109,7 +109,7 @@
     async with trio.open_nursery() as nursery:
         registry = start_roster(nursery, harness, store)
         await trio.sleep(COMMIT_S + SHRINK_INTERVAL_S)
-        record = harness.board.targets['late']
+        record = harness.scheduler_state.targets['late']
         record.silent = True
         registry.update()
         await trio.sleep(0.1)
@@ -137,5 +137,5 @@
         store.permitted = False
         await trio.sleep(5 * COMMIT_S)
         assert store.list_names() == {'theirs'}
-        assert not harness.board.targets['late'].in_registry
+        assert not harness.scheduler_state.targets['late'].in_registry
         nursery.cancel_scope.cancel()
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_upkeep_rounds.py
@@ -129,7 +129,7 @@
                     self.at_work_s[order.target_id] = trio.current_time() + WARM_UP_S
                     self.restarted_on.append(order.target_id)
                     self.restarts_s.append(trio.current_time() - self.ordered_s)
-            for record in self.rig.board.targets.values():
+            for record in self.rig.scheduler_state.targets.values():
                 for run in record.runs.values():
                     at_work = trio.current_time() >= self.at_work_s[record.entry.target_id]
                     run.at_work = at_work and not run.ending
@@ -140,16 +140,26 @@
     """Return the keeper of a holder that takes over now."""
     clock = TrioClock()
     term = cast('Any', SimpleNamespace(epoch=1, taken_s=clock.read_monotonic_s()))
-    board = fleet.rig.board
+    scheduler_state = fleet.rig.scheduler_state
     return UpkeepKeeper(
-        term, 'n', fleet, fleet, fleet, watch, fleet, fleet, board, clock, lambda orders: None
+        term,
+        'n',
+        fleet,
+        fleet,
+        fleet,
+        watch,
+        fleet,
+        fleet,
+        scheduler_state,
+        clock,
+        lambda orders: None,
     )
 
 
 async def test_one_at_a_time(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a wave that is late because of the time between two VMs of one step."""
     fleet = cast('Any', Fleet())
-    watch = VmWatch(fleet, fleet.rig.board, TrioClock())
+    watch = VmWatch(fleet, fleet.rig.scheduler_state, TrioClock())
     keeper = make_keeper(fleet, watch)
     async with trio.open_nursery() as nursery:
         fleet.start(nursery, watch, keeper.is_busy)
@@ -176,7 +186,7 @@
     complete 13 s after its last upkeep.
     """
     fleet = cast('Any', Fleet())
-    watch = VmWatch(fleet, fleet.rig.board, TrioClock())
+    watch = VmWatch(fleet, fleet.rig.scheduler_state, TrioClock())
     async with trio.open_nursery() as nursery:
         fleet.start(nursery, watch, lambda: True)
         await trio.sleep(2 * WARM_UP_S)
@@ -212,7 +222,7 @@
     fleet.waves = {1: UpkeepWave(1, fleet.waves[1].vms, LIMIT, 60)}
     fleet.unsure.update(ordered)
     fleet.vms.update({name: replace(fleet.vms[name], up=False, in_upkeep=True) for name in listed})
-    watch = VmWatch(fleet, fleet.rig.board, TrioClock())
+    watch = VmWatch(fleet, fleet.rig.scheduler_state, TrioClock())
     keeper = make_keeper(fleet, watch)
     async with trio.open_nursery() as nursery:
         fleet.start(nursery, watch, keeper.is_busy)
