--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -21,7 +21,7 @@
 from comfreywind.lab.outcome import Outcome
 from comfreywind.lab.worth import note_end, note_unfinished
 from comfreywind.scheduling.scheduler_state import SchedulerState
-from comfreywind.scheduling.holder import GATHER_S
+from comfreywind.scheduling.holder import BATCH_WINDOW_S
 from comfreywind.scheduling.orders import Order, StartOrder
 from comfreywind.scheduling.planner import Planner
 from comfreywind.scheduling.pool_keeper import INTERVAL_S
@@ -150,7 +150,7 @@
         if self._plan_due:
             return
         self._plan_due = True
-        self._at(max(self._now_s + GATHER_S, self._busy_until_s), self._plan)
+        self._at(max(self._now_s + BATCH_WINDOW_S, self._busy_until_s), self._plan)
 
     def _plan(self) -> None:
         self._plan_due = False
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -51,7 +51,7 @@
 from comfreywind.supervision import supervise
 
 # Changes that come within this time are planned together.
-GATHER_S = 0.004
+BATCH_WINDOW_S = 0.004
 # Planning takes at most a third of the processor, the rest is for orders and reports.
 PLAN_PAUSE_RATIO = 2
 TICK_S = 0.1
@@ -371,7 +371,7 @@
         self._metrics.set_level('targets.silent', sum(target.silent for target in targets))
 
     async def _plan_forever(self) -> None:
-        pause_s = GATHER_S
+        pause_s = BATCH_WINDOW_S
         while True:
             await self._wake.wait()
             await trio.sleep(pause_s)
@@ -381,7 +381,7 @@
             if self._keeper.is_valid():
                 self._plan()
                 self._metrics.record_duration('plan', trio.current_time() - started_s)
-            pause_s = max(GATHER_S, PLAN_PAUSE_RATIO * (trio.current_time() - started_s))
+            pause_s = max(BATCH_WINDOW_S, PLAN_PAUSE_RATIO * (trio.current_time() - started_s))
 
     def _plan(self) -> None:
         now_s = self._clock.read_monotonic_s()
