--- a/comfreywind/scheduling/__init__.py
+++ b/comfreywind/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The holder of the pools: order of work, starts, stops, leases and hand-over."""
+"""Scheduling by the holder: job order, placement, starts and stops, leases and takeover."""
--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -1,4 +1,4 @@
-"""A job as the holder knows it."""
+"""The holder's in-memory record of a job."""
 
 from dataclasses import dataclass, field
 
@@ -11,9 +11,13 @@
 
 @dataclass(slots=True)
 class JobRecord:
-    """An open or finished job; `waiting` holds the tasks whose turn has come, in order.
+    """An open or closed job with the state of its tasks.
 
-    `settled` is false while a run of an earlier holder may exist that this one has not seen.
+    `waiting` holds the tasks that are ready to start, in order. `unlocked` are the steps, as pairs
+    of occurrence and step number, whose tasks became ready, and `open_tasks_by_step` counts the
+    tasks of each step that are not done. `unlock_pending` is set while further steps may be
+    unlockable. `reconciled` is false while a run of an earlier holder may exist that this holder
+    does not know.
     """
 
     job: Job
@@ -27,63 +31,63 @@
     failed_on: dict[TaskKey, set[str]] = field(default_factory=dict)
     restarts: dict[TaskKey, int] = field(default_factory=dict)
     unlocked: set[tuple[int, int]] = field(default_factory=set)
-    left_in_step: dict[tuple[int, int], int] = field(default_factory=dict)
-    unlock_due: bool = True
+    open_tasks_by_step: dict[tuple[int, int], int] = field(default_factory=dict)
+    unlock_pending: bool = True
     objective_ms: float = 0
     remaining_ms: float = 0
 
     def __post_init__(self) -> None:
-        """Work out what is left of each step."""
+        """Derive the counts and durations of the remaining work from the progress."""
         for occurrence in range(self.job.count_occurrences()):
             for number, step in enumerate(self.job.steps):
-                self.left_in_step[occurrence, number] = step.task_count
+                self.open_tasks_by_step[occurrence, number] = step.task_count
         for occurrence, number, _ in self.progress.done:
-            self.left_in_step[occurrence, number] -= 1
+            self.open_tasks_by_step[occurrence, number] -= 1
         self.objective_ms = find_objective_ms(self.job)
         self.update_remaining()
 
     @property
     def open(self) -> bool:
-        """Return whether work may still be started."""
+        """Return whether the job is neither complete nor failed nor cancelled."""
         return not self.progress.state.final
 
     def mark_done(self, key: TaskKey) -> bool:
-        """Count a task as done; return False when it was done before."""
+        """Mark a task as done; return False when it was done before."""
         task = (key.occurrence, key.step, key.number)
         if task in self.progress.done:
             return False
         self.progress.done.add(task)
         self.progress.checkpoints.pop(task, None)
-        self.left_in_step[key.occurrence, key.step] -= 1
-        if not self.left_in_step[key.occurrence, key.step]:
-            self.unlock_due = True
+        self.open_tasks_by_step[key.occurrence, key.step] -= 1
+        if not self.open_tasks_by_step[key.occurrence, key.step]:
+            self.unlock_pending = True
             self.update_remaining()
         return True
 
     def merge(self, stored: Progress) -> None:
-        """Take in ends and failures that the store holds; both only ever grow."""
+        """Merge stored progress: done tasks and failures are only ever added."""
         for occurrence, step, number in stored.done - self.progress.done:
             self.progress.done.add((occurrence, step, number))
-            self.left_in_step[occurrence, step] -= 1
-            self.unlock_due = True
+            self.open_tasks_by_step[occurrence, step] -= 1
+            self.unlock_pending = True
             key = TaskKey(self.job.job_id, occurrence, step, number)
             self.waiting.pop(key, None)
         for task, run_ids in stored.failures.items():
             self.progress.failures.setdefault(task, set()).update(run_ids)
 
     def has_task(self, key: TaskKey) -> bool:
-        """Return whether the job has such a task; targets may list anything."""
-        known = (key.occurrence, key.step) in self.left_in_step
+        """Return whether the job has the task; a target may report keys that don't exist."""
+        known = (key.occurrence, key.step) in self.open_tasks_by_step
         return known and 0 <= key.number < self.job.steps[key.step].task_count
 
     def is_done(self, key: TaskKey) -> bool:
-        """Return whether an end `done` of the task is known."""
+        """Return whether a run of the task has ended as `done`."""
         return (key.occurrence, key.step, key.number) in self.progress.done
 
     def needs_start(self, key: TaskKey) -> bool:
-        """Return whether the task is to be started and is not yet in `waiting`.
+        """Return whether the task has to be started and is not in `waiting` yet.
 
-        The tasks of a step come into `waiting` with the step's turn, not before.
+        The tasks of a step enter `waiting` when the step is unlocked, not before.
         """
         if not self.open or (key.occurrence, key.step) not in self.unlocked:
             return False
@@ -91,34 +95,34 @@
 
     def is_complete(self) -> bool:
         """Return whether all tasks of all occurrences are done."""
-        return not any(self.left_in_step.values())
+        return not any(self.open_tasks_by_step.values())
 
     def list_unlockable(self, now_ms: float) -> list[tuple[int, int]]:
-        """Return the steps whose turn has come and whose tasks are not yet in `waiting`."""
+        """Return the steps that are due, have no open predecessors and are not unlocked yet."""
         unlocked: list[tuple[int, int]] = []
-        if not self.unlock_due:
+        if not self.unlock_pending:
             return unlocked
-        # An occurrence becomes due with time, not with an event.
-        self.unlock_due = bool(self.job.occurrence_count)
-        for step_key in self.left_in_step:
-            if step_key in self.unlocked or not self.left_in_step[step_key]:
+        # Occurrences become due as time passes, without an event that would set the flag.
+        self.unlock_pending = bool(self.job.occurrence_count)
+        for step_key in self.open_tasks_by_step:
+            if step_key in self.unlocked or not self.open_tasks_by_step[step_key]:
                 continue
             occurrence, number = step_key
             due = self.job.find_due_ms(occurrence) <= now_ms
             earlier = self.job.steps[number].after
-            if due and not any(self.left_in_step[occurrence, step] for step in earlier):
+            if due and not any(self.open_tasks_by_step[occurrence, step] for step in earlier):
                 unlocked.append(step_key)
         return unlocked
 
     def list_tasks_sharing_end(self, key: TaskKey) -> list[TaskKey]:
-        """Return the tasks for which an end of this one stands: a gang ends as one."""
+        """Return the tasks that end with this one: all members of a gang, or the task alone."""
         step = self.job.steps[key.step]
         if not step.gang:
             return [key]
         return [key._replace(number=number) for number in range(step.task_count)]
 
     def list_broken_gang_runs(self) -> list[RunRecord]:
-        """Return the runs of gangs of which other members wait to be started."""
+        """Return the runs of gang members while other members of the gang wait for a start."""
         waiting = {(key.occurrence, key.step) for key in self.waiting}
         return [
             run
@@ -127,25 +131,27 @@
         ]
 
     def get_checkpoint(self, key: TaskKey) -> str:
-        """Return the checkpoint that a start carries; the members of a gang share one."""
+        """Return the checkpoint to start the task from; the members of a gang share one."""
         step = self.job.steps[key.step]
         if not step.checkpointing:
             return ''
-        return self.progress.checkpoints.get(self._name_checkpoint(key), '')
+        return self.progress.checkpoints.get(self._get_checkpoint_key(key), '')
 
     def record_checkpoint(self, key: TaskKey, checkpoint: str) -> None:
-        """Keep the checkpoint of a run that has ended."""
+        """Record the checkpoint of a run that has ended."""
         if checkpoint and self.job.steps[key.step].checkpointing:
-            self.progress.checkpoints[self._name_checkpoint(key)] = checkpoint
+            self.progress.checkpoints[self._get_checkpoint_key(key)] = checkpoint
 
     def update_remaining(self) -> None:
-        """Estimate the longest chain of work that is left."""
+        """Update the estimate of the longest chain of remaining work in the last occurrence."""
         last = self.job.count_occurrences() - 1
         done = frozenset(
-            number for number in range(len(self.job.steps)) if not self.left_in_step[last, number]
+            number
+            for number in range(len(self.job.steps))
+            if not self.open_tasks_by_step[last, number]
         )
         self.remaining_ms = find_chain_ms(self.job.steps, done)
 
-    def _name_checkpoint(self, key: TaskKey) -> tuple[int, int, int]:
+    def _get_checkpoint_key(self, key: TaskKey) -> tuple[int, int, int]:
         number = 0 if self.job.steps[key.step].gang else key.number
         return (key.occurrence, key.step, number)
--- a/comfreywind/scheduling/orders.py
+++ b/comfreywind/scheduling/orders.py
@@ -1,4 +1,4 @@
-"""Orders that the holder gives to targets."""
+"""Orders that the holder sends to targets."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Start a run."""
+    """Starts a run of a task from its last checkpoint, with a ticket if the queue needs one."""
 
     target_id: str
     key: TaskKey
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stop a run."""
+    """Stops a run of a task."""
 
     target_id: str
     key: TaskKey
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceOrder:
-    """Let a run work at a share of its pace."""
+    """Limits a best-effort run to `percent` of its full pace."""
 
     target_id: str
     key: TaskKey
--- a/comfreywind/scheduling/removal.py
+++ b/comfreywind/scheduling/removal.py
@@ -1,11 +1,15 @@
-"""A job that is being removed from the store."""
+"""The state of the removal of a job from the store."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class Removal:
-    """Versions of the tombstone and of the progress; `cleared` once the progress is gone."""
+    """A job whose accepted row was replaced by a tombstone.
+
+    `version` is the version of the tombstone and `progress_version` that of the progress row, or 0
+    without one. `cleared` is set once progress and cancel marker are removed.
+    """
 
     job_id: str
     version: int
--- a/comfreywind/scheduling/run_record.py
+++ b/comfreywind/scheduling/run_record.py
@@ -1,4 +1,4 @@
-"""A run of a task as the holder knows it."""
+"""The holder's in-memory record of a run of a task."""
 
 import enum
 from dataclasses import dataclass
@@ -6,13 +6,14 @@
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.task_key import TaskKey
 
-# Progress shows in each report; without any for this time a task stands still.
-STALL_S = 1.0
+# Each report of a target carries the progress of its tasks. A short task without progress for this
+# time counts as stalled.
+STALL_TIMEOUT_S = 1.0
 FULL_PERCENT = 100
 
 
 class RunState(enum.StrEnum):
-    """State of a run; it takes room in all of them."""
+    """State of a run; its resources are reserved in all of them."""
 
     STARTING = 'starting'
     UNCONFIRMED = 'unconfirmed'
@@ -22,11 +23,14 @@
 
 @dataclass(slots=True)
 class RunRecord:
-    """A run on a target.
-
-    `last_answer_s` is when the last order about the run was answered: a report that was asked for later
-    shows the run if it is there. `ending` marks a run that an order of ours is about to end. `last_progress_s` is when `percent`, the part of the
-    task that is done, last rose.
+    """A run of a task on a target, with times on the holder's steady clock.
+
+    `reserved` is what the run takes of the target's capacity, `request` what counts towards the
+    ceiling of the team. `last_answer_s` is when the last order about the run was answered: a report
+    that was requested later lists the run if it exists. `ending` marks a run that an order of this
+    holder is about to end. `at_work` is set while a task has reported 100 % and is not ending.
+    `level` is the tail latency that the task reports, in milliseconds. `last_progress_s` is when
+    `percent`, the part of the task that is done, last increased, or 0 before the first report.
     """
 
     key: TaskKey
@@ -51,8 +55,8 @@
     lasting: bool = False
 
     def is_stalled(self, now_s: float) -> bool:
-        """Return whether a short task that has worked stands still."""
+        """Return whether a short task that has reported progress before is stalled now."""
         short = not self.lasting and not self.filler
         working = self.state is RunState.RUNNING and self.last_progress_s > 0
         unfinished = self.percent < FULL_PERCENT
-        return short and working and unfinished and now_s - self.last_progress_s >= STALL_S
+        return short and working and unfinished and now_s - self.last_progress_s >= STALL_TIMEOUT_S
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -1,8 +1,8 @@
-"""The holder's picture of jobs, targets and runs, and the orders that follow from it.
+"""The scheduler's in-memory state of jobs, targets and runs, and the orders that follow from it.
 
-The board has no sockets and no clock of its own: the tasks around it tell it what they learn and
-send the orders that it returns. Times in seconds are on the holder's steady clock, times in
-milliseconds are since 1970.
+The state does no I/O and reads no clock: the holder's tasks pass in rows, reports and answers with
+the current time, and send the orders that the methods return. Times in seconds are on the holder's
+steady clock, times in milliseconds are since 1970.
 """
 
 import logging
@@ -26,13 +26,13 @@
 from comfreywind.scheduling.run_record import RunRecord, RunState
 from comfreywind.scheduling.target_record import TargetRecord
 
-# A target that fails several tasks in a row without a success fails whatever it is given.
-FAILURE_STREAK_LIMIT = 2
-BAR_AFTER_FAILURES_S = 4.0
-BAR_WHEN_STALLED_S = 2.0
+# A target with this many failed runs in a row is assumed to fail every task.
+CONSECUTIVE_FAILURE_LIMIT = 2
+COOLDOWN_AFTER_FAILURES_S = 4.0
+COOLDOWN_AFTER_STALL_S = 2.0
 RESTART_LIMIT = 2
-# How long a target gets no new work after it refused some.
-BAR_BY_ANSWER_S = {
+# How long a target gets no new work after it has refused a start, in seconds.
+COOLDOWN_BY_ANSWER_S = {
     StartAnswer.NO_ROOM: 0.15,
     StartAnswer.UNHEALTHY: 1.0,
     StartAnswer.INVALID: 1.0,
@@ -41,18 +41,19 @@
     StartAnswer.STARTED: RunState.RUNNING,
     StartAnswer.UNKNOWN: RunState.UNCONFIRMED,
 }
-# Members of a gang are started within this time of each other.
-GANG_SETTLE_S = 0.5
+# The members of a gang are started within this time of each other, so until then a gang of which
+# some members still wait is not broken.
+GANG_START_WINDOW_S = 0.5
 NO_TARGETS: frozenset[str] = frozenset()
 
 log = logging.getLogger('comfreywind.board')
 
 
 class SchedulerState:
-    """Jobs, targets and runs of one term of a holder."""
+    """Jobs, targets and runs as one holder knows them during its term."""
 
     def __init__(self, epoch: int) -> None:
-        """Start a term with nothing known."""
+        """Start the term `epoch` with no jobs, targets or runs."""
         self.epoch = epoch
         self.rules: JobRules = JobRules(0)
         self.jobs: dict[str, JobRecord] = {}
@@ -60,14 +61,18 @@
         self.targets: dict[str, TargetRecord] = {}
         self.team_usage: dict[str, Resources] = {}
         self.changed_jobs: dict[str, JobRecord] = {}
-        self.orphan_cancels: set[str] = set()
+        self.early_cancels: set[str] = set()
         self.added_jobs_count = 0
         self._closing: dict[str, JobRecord] = {}
 
-    # What the store tells
+    # Rows of the store
 
     def add_job(self, job: Job, progress: Progress, version: int, reconciled: bool) -> None:
-        """Take in an accepted job; a job that is known already is left as it is."""
+        """Add an accepted job with its stored progress, unless the job is known already.
+
+        `version` is the version of its progress row. `reconciled` is false while a run that an
+        earlier holder started for the job may be unknown.
+        """
         if job.job_id in self.jobs:
             return
         record = JobRecord(job, progress, version, reconciled)
@@ -75,61 +80,71 @@
         self.added_jobs_count += 1
         if record.open:
             self.open_jobs[job.job_id] = record
-        if job.job_id in self.orphan_cancels:
-            self.orphan_cancels.discard(job.job_id)
+        if job.job_id in self.early_cancels:
+            self.early_cancels.discard(job.job_id)
             self.cancel_job(job.job_id)
 
     def cancel_job(self, job_id: str) -> None:
-        """Note that the job's cancelling was accepted; its runs are stopped with the next plan."""
+        """Cancel a job, whose runs are stopped with the next plan.
+
+        The cancellation of a job that is not known yet takes effect when the job is added.
+        """
         record = self.jobs.get(job_id)
         if record is None:
-            self.orphan_cancels.add(job_id)
+            self.early_cancels.add(job_id)
             return
         if record.open:
-            log.info('job %s: cancelled with %d runs', job_id, len(record.runs))
+            log.info('job %s: cancelled; %d runs will be stopped', job_id, len(record.runs))
             record.progress.state = JobState.CANCELLED
             self._close_job(record)
 
     def drop_job(self, job_id: str) -> None:
-        """Forget a job that has ended and has no runs."""
+        """Remove a job that has ended and has no runs."""
         self.jobs.pop(job_id, None)
         self.changed_jobs.pop(job_id, None)
         self._closing.pop(job_id, None)
-        self.orphan_cancels.discard(job_id)
+        self.early_cancels.discard(job_id)
 
     def suspend_job(self, record: JobRecord, planned_s: float) -> None:
-        """Start no more tasks of a job whose plan at that time failed; what runs of it runs on."""
+        """Start no more tasks of a job for which planning at `planned_s` raised an error.
+
+        Runs that were ordered by earlier plans continue.
+        """
         self.open_jobs.pop(record.job.job_id, None)
         for run in list(record.runs.values()):
-            # The orders of the failed plan are not sent.
+            # The start orders of the failed plan are never sent.
             if run.state is RunState.STARTING and run.started_s == planned_s:
                 self.discard_run(run)
 
     def merge_progress(self, record: JobRecord, stored: Progress) -> None:
-        """Take in what another holder, or a caller's cancelling, wrote of a job's progress."""
+        """Merge progress that another holder or a caller's cancellation has stored for a job."""
         record.merge(stored)
         if record.open and stored.state.final:
-            log.info('job %s: %s by another node', record.job.job_id, stored.state)
+            log.info('job %s: state %s was stored by another node', record.job.job_id, stored.state)
             record.progress.state = stored.state
             self._close_job(record)
 
     def register_target(self, entry: TargetEntry, now_s: float) -> TargetRecord:
-        """Take in a target's registration; a new life under the same id has no runs."""
+        """Add or update a target; a new incarnation under the same id starts without runs."""
         record = self.targets.get(entry.target_id)
         if record is None:
             record = TargetRecord(entry, born_ms=entry.born_ms)
             self.targets[entry.target_id] = record
             return record
         if entry.born_ms > record.born_ms:
-            self.restart_target(record, entry.born_ms, now_s)
+            self.reset_target(record, entry.born_ms, now_s)
         record.entry = entry
         return record
 
-    # What targets tell
+    # Reports and answers of targets
 
-    def restart_target(self, record: TargetRecord, born_ms: int, now_s: float) -> None:
-        """Note that the target has a new life, which knows nothing of the runs before."""
-        log.info('target %s: new life, %d runs lost', record.entry.target_id, len(record.runs))
+    def reset_target(self, record: TargetRecord, born_ms: int, now_s: float) -> None:
+        """Reset the record of a target that has a new incarnation, and requeue its lost runs."""
+        log.info(
+            'target %s: restarted; %d runs were lost and are queued again',
+            record.entry.target_id,
+            len(record.runs),
+        )
         record.born_ms = born_ms
         record.applied_number = 0
         record.stored_number = 0
@@ -138,18 +153,21 @@
         self.requeue_runs(record, now_s)
 
     def requeue_runs(self, record: TargetRecord, now_s: float) -> None:
-        """Requeue everything that ran on a target that certainly runs nothing any more."""
+        """Drop the runs of a target on which certainly nothing runs, and requeue their tasks."""
         for run in list(record.runs.values()):
             self.discard_run(run)
             self.requeue(run.key)
         record.used = NO_RESOURCES
 
     def apply_report(
-        self, record: TargetRecord, report: TargetReport, asked_s: float, now_s: float
+        self, record: TargetRecord, report: TargetReport, requested_s: float, now_s: float
     ) -> list[Order]:
-        """Take in the lists of a target that were asked for at `asked_s`."""
+        """Apply the lists of runs that a target has sent, and return the orders that follow.
+
+        The report shows the target at a moment not before `requested_s`, when it was requested.
+        """
         if report.born_ms > record.born_ms:
-            self.restart_target(record, report.born_ms, now_s)
+            self.reset_target(record, report.born_ms, now_s)
         record.reported = True
         record.silent = False
         for ended in report.ended:
@@ -157,21 +175,21 @@
                 self._apply_end(record, ended, now_s)
                 record.applied_number = ended.number
         orders: list[Order] = []
-        listed: set[TaskKey] = set()
+        listed_keys: set[TaskKey] = set()
         for active in report.active:
-            listed.add(active.key)
+            listed_keys.add(active.key)
             orders.extend(self._apply_active(record, active.key, active.run_id, now_s))
-            _note_level(record.runs.get(active.key), active, now_s)
-        orders.extend(self._find_missing(record, listed, asked_s, now_s))
-        orders.extend(self._pace_fillers(record))
-        orders.extend(self._restart_stalled(record, now_s))
+            _apply_progress(record.runs.get(active.key), active, now_s)
+        orders.extend(self._resolve_missing_runs(record, listed_keys, requested_s, now_s))
+        orders.extend(self._pace_best_effort_runs(record))
+        orders.extend(self._stop_stalled_runs(record, now_s))
         return orders
 
     def apply_start_answer(
         self, order: StartOrder, answer: StartAnswer, now_s: float
     ) -> list[Order]:
-        """Take in the answer to a start."""
-        run = self._find_run(order.target_id, order.key, order.run_id)
+        """Apply the answer to a start order and return the orders that follow."""
+        run = self._get_run(order.target_id, order.key, order.run_id)
         if run is None:
             return []
         record = self.targets[order.target_id]
@@ -180,17 +198,23 @@
         if next_state is not None:
             run.state = next_state if run.state is RunState.STARTING else run.state
             if answer is StartAnswer.STARTED:
-                self._note_begun(order.key.job_id)
+                self._mark_job_started(order.key.job_id)
             return []
-        log.info('task %s run %d: %s on %s', run.key, run.run_id, answer, order.target_id)
-        self._note_refusal(record, answer, now_s)
+        log.info(
+            'task %s run %d: start answered %s by target %s; the task is queued again',
+            run.key,
+            run.run_id,
+            answer,
+            order.target_id,
+        )
+        self._apply_refusal(record, answer, now_s)
         self.discard_run(run)
         self.requeue(run.key)
         return []
 
     def apply_stop_answer(self, order: StopOrder, confirmed: bool, now_s: float) -> list[Order]:
-        """Take in the answer to a stop; a stop without one is repeated."""
-        run = self._find_run(order.target_id, order.key, order.run_id)
+        """Apply the answer to a stop order; an unconfirmed stop is returned to be sent again."""
+        run = self._get_run(order.target_id, order.key, order.run_id)
         if run is None:
             return []
         if confirmed:
@@ -199,17 +223,17 @@
             return []
         return [order]
 
-    # What follows
+    # Orders for runs
 
     def stop_job_runs(self, record: JobRecord, now_s: float) -> list[Order]:
-        """Return the stops of all runs of a job."""
+        """Return the stop orders for all runs of a job."""
         orders: list[Order] = []
         for run in list(record.runs.values()):
             orders.extend(self.stop_run(run, now_s))
         return orders
 
     def stop_closed_jobs(self, now_s: float) -> list[Order]:
-        """Return the stops of runs whose jobs are closed."""
+        """Return the stop orders for the runs of all jobs that were closed since the last call."""
         orders: list[Order] = []
         for record in self._closing.values():
             orders.extend(self.stop_job_runs(record, now_s))
@@ -217,19 +241,19 @@
         return orders
 
     def stop_broken_gangs(self, now_s: float) -> list[Order]:
-        """Return the stops of gangs of which a member has ended or was refused.
+        """Return the stop orders for gangs of which a member has ended or was refused.
 
-        The others would wait in vain, or work on without it; the gang starts again as a whole.
+        The other members would wait for it or continue without it. The gang starts again as a whole.
         """
         orders: list[Order] = []
         for record in self.open_jobs.values():
             for run in record.list_broken_gang_runs():
-                if now_s - run.started_s > GANG_SETTLE_S:
+                if now_s - run.started_s > GANG_START_WINDOW_S:
                     orders.extend(self.stop_run(run, now_s))
         return orders
 
     def stop_run(self, run: RunRecord, now_s: float) -> list[Order]:
-        """Return the stop of a run unless it is being stopped already."""
+        """Return the stop order for a run, or none when it is being stopped already."""
         if run.state is RunState.STOPPING:
             return []
         run.state = RunState.STOPPING
@@ -239,12 +263,12 @@
         return [StopOrder(run.target_id, run.key, run.run_id)]
 
     def get_pool(self, record: JobRecord) -> str:
-        """Return the pool that runs the job by the rules in force."""
+        """Return the name of the pool that runs the job under the rules in force."""
         queue = self.rules.queues.get(record.job.queue.name, record.job.queue)
         return queue.pool
 
     def count_pending(self) -> dict[str, int]:
-        """Return for each queue how many accepted jobs have not begun."""
+        """Return the number of accepted jobs by queue of which no task has started."""
         pending: dict[str, int] = {}
         for record in self.open_jobs.values():
             if record.progress.state is JobState.QUEUED and not record.job.occurrence_count:
@@ -253,62 +277,62 @@
         return pending
 
     def count_short_runs(self, target: TargetRecord) -> int:
-        """Return how many runs on the target end by themselves."""
-        return sum(not self._is_lasting(run.key) for run in target.runs.values())
+        """Return the number of runs on the target that are not of long-running tasks."""
+        return sum(not self._is_long_running(run.key) for run in target.runs.values())
 
     def list_step_health(self, target: TargetRecord) -> list[StepHealth]:
-        """Return the health of the lasting steps that have tasks on the target."""
+        """Return the health of the long-running steps that have tasks on the target."""
         steps = {
             (run.key.job_id, run.key.occurrence, run.key.step)
             for run in target.runs.values()
-            if self._is_lasting(run.key)
+            if self._is_long_running(run.key)
         }
-        return [self._read_step_health(*step) for step in steps]
+        return [self._get_step_health(*step) for step in steps]
 
     def apply_vm_order(self, target: TargetRecord) -> None:
-        """Count what runs on the target as away, because the VM is ordered down or elsewhere."""
+        """Count the runs of a target as unavailable, because its VM is ordered down or moved."""
         target.emptying = True
         for run in target.runs.values():
             run.ending = True
             run.at_work = False
 
     def revert_vm_order(self, target: TargetRecord) -> None:
-        """Let the target work on, because what was ordered for its VM is not carried out."""
+        """Revert `apply_vm_order`, because the order for the VM is not carried out."""
         target.emptying = False
         for run in target.runs.values():
             run.ending = run.state is RunState.STOPPING
 
     def evict_colocated(self, target: TargetRecord, now_s: float) -> list[Order]:
-        """Return stops of lasting tasks that keep a VM from going down, one of each step.
+        """Return stop orders for long-running tasks that keep a VM up, at most one for each step.
 
-        A VM with more tasks of a step than may be away can't go down at once with all of them.
+        A VM can't go down with more tasks of a step than may be unavailable at the same time.
         """
         orders: list[Order] = []
         evicted: set[tuple[str, int, int]] = set()
         for run in list(target.runs.values()):
             step_key = (run.key.job_id, run.key.occurrence, run.key.step)
-            if step_key in evicted or not run.at_work or not self._is_lasting(run.key):
+            if step_key in evicted or not run.at_work or not self._is_long_running(run.key):
                 continue
-            health = self._read_step_health(*step_key)
-            here = health.at_work_on[target.entry.target_id]
-            if here > health.limit and health.away < health.limit:
+            health = self._get_step_health(*step_key)
+            count_on_target = health.at_work_on[target.entry.target_id]
+            if count_on_target > health.limit and health.away < health.limit:
                 evicted.add(step_key)
                 orders.extend(self.stop_run(run, now_s))
         return orders
 
     def pop_changed_jobs(self) -> list[JobRecord]:
-        """Return the jobs whose progress has changed since the last call."""
+        """Return and clear the jobs whose progress has changed since the last call."""
         changed = list(self.changed_jobs.values())
         self.changed_jobs.clear()
         return changed
 
     def mark_changed(self, record: JobRecord) -> None:
-        """Have the progress of the job stored, unless the job was dropped."""
+        """Mark the progress of the job as to be stored, unless the job was dropped."""
         if self.jobs.get(record.job.job_id) is record:
             self.changed_jobs[record.job.job_id] = record
 
     def mark_reconciled(self, records: Iterable[JobRecord]) -> None:
-        """Allow starts of jobs whose runs under an earlier holder are all accounted for."""
+        """Allow starts of jobs for which all runs of earlier holders are known."""
         for record in records:
             record.reconciled = True
 
@@ -335,11 +359,11 @@
             return
         record.waiting[key] = None
 
-    def _is_lasting(self, key: TaskKey) -> bool:
+    def _is_long_running(self, key: TaskKey) -> bool:
         record = self.jobs.get(key.job_id)
         return record is not None and record.open and record.job.steps[key.step].lasting
 
-    def _read_step_health(self, job_id: str, occurrence: int, number: int) -> StepHealth:
+    def _get_step_health(self, job_id: str, occurrence: int, number: int) -> StepHealth:
         record = self.jobs[job_id]
         step = record.job.steps[number]
         at_work_on: dict[str, int] = {}
@@ -349,20 +373,20 @@
         away = step.task_count - sum(at_work_on.values())
         return StepHealth(step.unavailable_limit, away, at_work_on)
 
-    def _note_refusal(self, record: TargetRecord, answer: StartAnswer, now_s: float) -> None:
+    def _apply_refusal(self, record: TargetRecord, answer: StartAnswer, now_s: float) -> None:
         if answer is StartAnswer.REPLACED:
             record.leaving = True
             self.requeue_runs(record, now_s)
-        bar_s = BAR_BY_ANSWER_S.get(answer, 0)
-        record.cooldown_until_s = max(record.cooldown_until_s, now_s + bar_s)
+        cooldown_s = COOLDOWN_BY_ANSWER_S.get(answer, 0)
+        record.cooldown_until_s = max(record.cooldown_until_s, now_s + cooldown_s)
 
-    def _find_run(self, target_id: str, key: TaskKey, run_id: int) -> RunRecord | None:
+    def _get_run(self, target_id: str, key: TaskKey, run_id: int) -> RunRecord | None:
         target = self.targets.get(target_id)
         run = None if target is None else target.runs.get(key)
         return None if run is None or run.run_id != run_id else run
 
-    def _note_begun(self, job_id: str) -> None:
-        """Note that a task of the job has started; an order alone may come to nothing."""
+    def _mark_job_started(self, job_id: str) -> None:
+        """Mark a queued job as running; called once a target has confirmed a run of it."""
         record = self.jobs.get(job_id)
         if record is not None and record.progress.state is JobState.QUEUED:
             record.progress.state = JobState.RUNNING
@@ -377,51 +401,55 @@
         if record is None:
             return
         if not record.has_task(ended.key):
-            log.warning('target %s: ends %s, no task', target.entry.target_id, ended.key)
+            log.warning(
+                'target %s: ignored the end of %s, because its job has no such task',
+                target.entry.target_id,
+                ended.key,
+            )
             return
-        self._note_begun(ended.key.job_id)
-        self._note_outcome(record, target, ended, now_s)
+        self._mark_job_started(ended.key.job_id)
+        self._apply_outcome(record, target, ended, now_s)
         self.requeue(ended.key)
 
-    def _note_outcome(
+    def _apply_outcome(
         self, record: JobRecord, target: TargetRecord, ended: EndedRun, now_s: float
     ) -> None:
-        lasting = record.job.steps[ended.key.step].lasting
-        if ended.outcome is RunOutcome.DONE and not lasting:
+        long_running = record.job.steps[ended.key.step].lasting
+        if ended.outcome is RunOutcome.DONE and not long_running:
             target.consecutive_failures = 0
             for key in record.list_tasks_sharing_end(ended.key):
                 if record.mark_done(key):
-                    self._note_done(record, key)
+                    self._apply_task_done(record, key)
         elif ended.outcome is RunOutcome.FAILED:
-            self._note_failure(record, target, ended, now_s)
+            self._apply_failure(record, target, ended, now_s)
         else:
             log.info(
-                'task %s run %d: %s on %s',
+                'task %s run %d: ended as %s on target %s; it runs again if it is still needed',
                 ended.key,
                 ended.run_id,
                 ended.outcome,
                 target.entry.target_id,
             )
 
-    def _note_done(self, record: JobRecord, key: TaskKey) -> None:
+    def _apply_task_done(self, record: JobRecord, key: TaskKey) -> None:
         record.waiting.pop(key, None)
         if record.open and record.is_complete():
             record.progress.state = JobState.COMPLETE
             self._close_job(record)
         self.mark_changed(record)
 
-    def _note_failure(
+    def _apply_failure(
         self, record: JobRecord, target: TargetRecord, ended: EndedRun, now_s: float
     ) -> None:
         key = ended.key
         target.consecutive_failures += 1
         record.failed_on.setdefault(key, set()).add(target.entry.target_id)
-        if target.consecutive_failures >= FAILURE_STREAK_LIMIT:
-            target.cooldown_until_s = now_s + BAR_AFTER_FAILURES_S
+        if target.consecutive_failures >= CONSECUTIVE_FAILURE_LIMIT:
+            target.cooldown_until_s = now_s + COOLDOWN_AFTER_FAILURES_S
         task = (key.occurrence, key.step, record.list_tasks_sharing_end(key)[0].number)
         failed_runs = record.progress.failures.get(task, set()) | {ended.run_id}
         log.info(
-            'task %s run %d: failed on %s, attempt %d',
+            'task %s run %d: failed on target %s; failed attempts: %d',
             key,
             ended.run_id,
             target.entry.target_id,
@@ -439,31 +467,38 @@
         self, target: TargetRecord, key: TaskKey, run_id: int, now_s: float
     ) -> list[Order]:
         run = target.runs.get(key)
-        self._note_begun(key.job_id)
+        self._mark_job_started(key.job_id)
         if run is not None and run.run_id == run_id:
             if run.state is RunState.UNCONFIRMED:
                 run.state = RunState.RUNNING
             return []
         if run is not None:
             return []
-        return self._adopt(target, key, run_id, now_s)
+        return self._adopt_run(target, key, run_id, now_s)
 
-    def _adopt(self, target: TargetRecord, key: TaskKey, run_id: int, now_s: float) -> list[Order]:
-        """Take over a run of an earlier holder, or stop it when it should not be there."""
+    def _adopt_run(
+        self, target: TargetRecord, key: TaskKey, run_id: int, now_s: float
+    ) -> list[Order]:
+        """Record a run that an earlier holder started, and stop it when it should not run."""
         record = self.jobs.get(key.job_id)
-        if record is None or not _is_wanted(record, key):
-            log.info('task %s run %d is not wanted on %s', key, run_id, target.entry.target_id)
-            run = _make_adopted(target, key, run_id, now_s, Step(1, NO_RESOURCES), '')
+        if record is None or not _should_run(record, key):
+            log.info(
+                'task %s run %d: not needed on target %s; it is stopped',
+                key,
+                run_id,
+                target.entry.target_id,
+            )
+            run = _make_adopted_run(target, key, run_id, now_s, Step(1, NO_RESOURCES), '')
             self.add_run(run, None)
             return self.stop_run(run, now_s)
         step = record.job.steps[key.step]
-        self.add_run(_make_adopted(target, key, run_id, now_s, step, record.job.team), record)
+        self.add_run(_make_adopted_run(target, key, run_id, now_s, step, record.job.team), record)
         record.last_run_ids[key] = max(run_id, record.last_run_ids.get(key, 0))
         record.waiting.pop(key, None)
         return []
 
-    def _pace_fillers(self, target: TargetRecord) -> list[Order]:
-        """Return the orders that keep fillers from harming the tasks that serve beside them."""
+    def _pace_best_effort_runs(self, target: TargetRecord) -> list[Order]:
+        """Return orders that adapt the pace of best-effort runs to the tail latency beside them."""
         ratios = [
             run.level / run.tail_limit_ms for run in target.runs.values() if run.tail_limit_ms
         ]
@@ -471,28 +506,32 @@
         for run in target.runs.values():
             if not run.filler or run.state is not RunState.RUNNING:
                 continue
-            percent = choose_pace(run.pace_percent, max(ratios, default=0))
-            if percent != run.pace_percent:
-                run.pace_percent = percent
-                orders.append(PaceOrder(run.target_id, run.key, run.run_id, percent))
+            pace_percent = choose_pace(run.pace_percent, max(ratios, default=0))
+            if pace_percent != run.pace_percent:
+                run.pace_percent = pace_percent
+                orders.append(PaceOrder(run.target_id, run.key, run.run_id, pace_percent))
         return orders
 
-    def _restart_stalled(self, target: TargetRecord, now_s: float) -> list[Order]:
-        """Bar a target on which short tasks stand still, and return their stops.
+    def _stop_stalled_runs(self, target: TargetRecord, now_s: float) -> list[Order]:
+        """Return stop orders for stalled short tasks, and give their target a cooldown.
 
         Each task is moved at most `RESTART_LIMIT` times.
         """
         stopped: list[Order] = []
         for run in list(target.runs.values()):
-            if run.is_stalled(now_s) and self._may_restart(run.key):
-                log.info('task %s: stands still on %s', run.key, target.entry.target_id)
+            if run.is_stalled(now_s) and self._consume_restart(run.key):
+                log.info(
+                    'task %s: no progress on target %s; it is stopped to run again',
+                    run.key,
+                    target.entry.target_id,
+                )
                 stopped.extend(self.stop_run(run, now_s))
         if stopped:
-            target.cooldown_until_s = max(target.cooldown_until_s, now_s + BAR_WHEN_STALLED_S)
+            target.cooldown_until_s = max(target.cooldown_until_s, now_s + COOLDOWN_AFTER_STALL_S)
         return stopped
 
-    def _may_restart(self, key: TaskKey) -> bool:
-        """Return whether the task may be moved once more, and count it."""
+    def _consume_restart(self, key: TaskKey) -> bool:
+        """Return whether the task may be restarted once more, and count the restart if so."""
         record = self.jobs[key.job_id]
         count = record.restarts.get(key, 0)
         if count >= RESTART_LIMIT or record.job.steps[key.step].gang:
@@ -500,30 +539,35 @@
         record.restarts[key] = count + 1
         return True
 
-    def _find_missing(
-        self, target: TargetRecord, listed: set[TaskKey], asked_s: float, now_s: float
+    def _resolve_missing_runs(
+        self, target: TargetRecord, listed_keys: set[TaskKey], requested_s: float, now_s: float
     ) -> list[Order]:
-        """Settle runs that the report should show and does not."""
+        """Return the orders for runs that the report should list and does not."""
         orders: list[Order] = []
         for run in list(target.runs.values()):
-            if run.key in listed or run.last_answer_s >= asked_s:
+            if run.key in listed_keys or run.last_answer_s >= requested_s:
                 continue
-            orders.extend(self._settle_missing(run, now_s))
+            orders.extend(self._resolve_missing_run(run, now_s))
         return orders
 
-    def _settle_missing(self, run: RunRecord, now_s: float) -> list[Order]:
-        """Requeue a run that has gone; stop one whose start had no answer and may still come."""
+    def _resolve_missing_run(self, run: RunRecord, now_s: float) -> list[Order]:
+        """Requeue a run that has ended; stop one whose unanswered start may still take effect."""
         if run.state is RunState.UNCONFIRMED:
             return self.stop_run(run, now_s)
         if run.state is RunState.RUNNING or run.stop_confirmed:
-            log.info('task %s run %d is gone from %s', run.key, run.run_id, run.target_id)
+            log.info(
+                'task %s run %d: no longer listed by target %s; the task is queued again',
+                run.key,
+                run.run_id,
+                run.target_id,
+            )
             self.discard_run(run)
             self.requeue(run.key)
         return []
 
     def _close_job(self, record: JobRecord) -> None:
         log.info(
-            'job %s: %s, accepted at %d ms with an objective of %d ms',
+            'job %s: closed as %s; accepted at %d ms since 1970, latency objective %d ms',
             record.job.job_id,
             record.progress.state,
             record.job.accepted_ms,
@@ -534,7 +578,7 @@
         self.open_jobs.pop(record.job.job_id, None)
 
 
-def _note_level(run: RunRecord | None, active: ActiveRun, now_s: float) -> None:
+def _apply_progress(run: RunRecord | None, active: ActiveRun, now_s: float) -> None:
     if run is None or run.run_id != active.run_id:
         return
     run.checkpoint = active.checkpoint or run.checkpoint
@@ -545,13 +589,13 @@
         run.last_progress_s = now_s
 
 
-def _is_wanted(record: JobRecord, key: TaskKey) -> bool:
+def _should_run(record: JobRecord, key: TaskKey) -> bool:
     if not record.has_task(key) or key in record.runs:
         return False
     return record.open and not record.is_done(key)
 
 
-def _make_adopted(
+def _make_adopted_run(
     target: TargetRecord, key: TaskKey, run_id: int, now_s: float, step: Step, team: str
 ) -> RunRecord:
     return RunRecord(
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -1,4 +1,4 @@
-"""A target as the holder knows it."""
+"""The holder's in-memory record of a target."""
 
 from dataclasses import dataclass, field
 
@@ -10,13 +10,15 @@
 
 @dataclass(slots=True)
 class TargetRecord:
-    """What runs on a target and how well it answers; times on the holder's steady clock.
+    """The runs and the availability of a target, with times on the holder's steady clock.
 
-    `applied_number` is the highest end that the holder has seen, `stored_number` the highest whose
-    consequences the store holds, and `acknowledged_number` the highest that the target was told. `lease_end_s` is when
-    everything there has certainly lapsed. `rostered` tells that the row for a later holder names
-    the target, without which nothing may be started on it. `due` marks a VM of an open wave of
-    upkeep.
+    The target numbers the ends of its runs. `applied_number` is the highest end applied to the
+    scheduler state, `stored_number` the highest whose effects are stored, and `acknowledged_number`
+    the highest that was acknowledged to the target. `lease_end_s` is when all runs on the target
+    have certainly lapsed. `in_registry` is set while the stored target registry names the target,
+    without which nothing may be started on it. `due` marks a VM of an open maintenance wave.
+    `silent` is set while the target gives no answer, `leaving` once its entry is gone or replaced,
+    and `emptying` while its VM is being drained for an order.
     """
 
     entry: TargetEntry
@@ -38,29 +40,29 @@
 
     @property
     def free(self) -> Resources:
-        """Return the room that is left."""
+        """Return the capacity that no run has reserved."""
         return self.entry.capacity.subtract(self.used)
 
     def may_start(self, now_s: float) -> bool:
-        """Return whether new work may be given to the target at this moment."""
+        """Return whether a run may be started on the target at this moment."""
         return self.in_registry and self.is_usable(now_s)
 
     def is_usable(self, now_s: float) -> bool:
-        """Return whether the target takes new work once the roster names it."""
+        """Return whether the target could take a run at this moment if the registry names it."""
         unavailable = self.entry.draining or self.leaving or self.emptying
         unheard = self.silent or not self.reported
-        # After a row of failures one task shows whether the target works again.
+        # After consecutive failures, a single run probes whether the target works again.
         short_runs = not all(run.lasting for run in self.runs.values())
         probing = self.consecutive_failures > 1 and short_runs
         return not (unavailable or unheard or probing) and now_s >= self.cooldown_until_s
 
     def add_run(self, run: RunRecord) -> None:
-        """Count a run against the room."""
+        """Add a run and reserve its resources."""
         self.runs[run.key] = run
         self.used = self.used.add(run.reserved)
 
     def remove_run(self, run: RunRecord) -> None:
-        """Free the room of a run."""
+        """Remove a run and release its resources."""
         if self.runs.get(run.key) is run:
             del self.runs[run.key]
             self.used = self.used.subtract(run.reserved)
