--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -50,11 +50,12 @@
 from comfreywind.settings.node import NodeSettings
 from comfreywind.supervision import supervise
 
-# Changes that come within this time are planned together.
+# Changes that come within this time share one plan.
 BATCH_WINDOW_S = 0.004
-# Planning takes at most a third of the processor, the rest is for orders and reports.
+# After a plan, the planner pauses for this many times the plan's duration. So planning takes at most
+# a third of the processor time, and the rest is left for orders and reports.
 PLAN_PAUSE_RATIO = 2
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 RETRY_S = 0.2
 # The users fetch metrics every 5 s.
 LEVELS_INTERVAL_S = 1.0
@@ -64,7 +65,7 @@
 
 
 class Holder:
-    """The work of one term."""
+    """Schedules the jobs of all pools during one term."""
 
     def __init__(
         self,
@@ -76,7 +77,7 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        """Prepare the term; nothing is read or ordered yet."""
+        """Create the components of the term; nothing is read or ordered before `run`."""
         self._metrics = metrics
         self._term = term
         self._settings = settings
@@ -91,14 +92,14 @@
         self._links: dict[str, TargetLink] = {}
         self._nursery: trio.Nursery | None = None
         self._wake = trio.Event()
-        self._old_progress: dict[str, tuple[Progress, int]] = {}
+        self._stored_progress: dict[str, tuple[Progress, int]] = {}
         self._progress_loaded = trio.Event()
-        self._unreadable_jobs: set[str] = set()
+        self._unreadable_progress_ids: set[str] = set()
         self._registry = TargetRegistry(
             rows, self.scheduler_state, clock, self._wake_planner, self._may_order
         )
-        self._settlement = Reconciliation(
-            term, rows, self.scheduler_state, self.journal, self._registry, clock, self._is_dead
+        self._reconciliation = Reconciliation(
+            term, rows, self.scheduler_state, self.journal, self._registry, clock, self._is_gone
         )
         self._watch: VmWatch | None = None
         self._retention = JobRetention(
@@ -110,12 +111,12 @@
         )
 
     async def run(self) -> None:
-        """Load the state, adopt what runs, then plan until cancelled."""
+        """Load the stored state, adopt existing runs, then plan until cancelled."""
         intake = RowFeed(
             self._rows,
             TABLE_INTAKE,
             (*INTAKE_PARTS, *PROGRESS_PARTS),
-            self._take_intake,
+            self._handle_intake_row,
             self._clock,
             after=self._progress_loaded,
             metrics=self._metrics,
@@ -124,32 +125,33 @@
             self._rows,
             TABLE_SERVERS,
             ('',),
-            self._take_target,
+            self._handle_target_row,
             self._clock,
-            self._note_listed,
-            # A run of a job that is not known would be stopped.
+            self._mark_unlisted_targets,
+            # Targets report runs, and a run of a job that is not loaded yet would be stopped.
             after=intake.loaded,
             metrics=self._metrics,
         )
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            # All is read at the same time, as a slow store takes up to a second for an answer.
+            # All tables are read at the same time, because a slow store takes up to a second for
+            # each answer.
             nursery.start_soon(self._load)
             self._start('journal', self.journal.run)
             self._start('intake feed', intake.run)
             self._start('targets feed', targets.run)
             await targets.loaded.wait()
             log.info(
-                'term %d: %d jobs, %d targets',
+                'term %d: state loaded with %d jobs and %d targets, scheduling starts',
                 self._term.epoch,
                 len(self.scheduler_state.jobs),
                 len(self.scheduler_state.targets),
             )
             self._start('tick', self._tick)
-            self._start('levels', self._note_levels)
+            self._start('levels', self._report_levels)
             self._start('roster', self._registry.run)
             self._start('retention', self._retention.run)
-            self._start('settling', partial(self._settlement.run, self._wake_planner))
+            self._start('settling', partial(self._reconciliation.run, self._wake_planner))
             if self._settings.advice_address is not None:
                 client = AdviceClient(self._settings.advice_address)
                 advice = AdviceKeeper(client, self._planner, self._clock, self._wake_planner)
@@ -158,13 +160,13 @@
                 self._start_vm_tasks(self._settings.vm_service_address)
             await supervise('planner', self._plan_forever, self._metrics)
 
-    def publish(self, orders: list[Order]) -> None:
+    def submit_orders(self, orders: list[Order]) -> None:
         """Send orders and plan again soon."""
         self._wake.set()
         self._send(orders)
 
     def _may_order(self) -> bool:
-        """Return whether orders of this term may be sent at this moment."""
+        """Return whether this holder may send orders at this moment."""
         return self._keeper.held is self._term and self._keeper.is_valid()
 
     def _may_order_vm(self, vm: str) -> bool:
@@ -186,7 +188,7 @@
             try:
                 await self._read_state()
             except StoreUnavailableError as error:
-                log.info('term %d: state not read yet: %s', self._term.epoch, error)
+                log.info('term %d: state not read, trying again: %s', self._term.epoch, error)
                 await trio.sleep(RETRY_S)
             else:
                 self._progress_loaded.set()
@@ -198,44 +200,46 @@
     async def _read_progress(self) -> None:
         for page in await self._rows.read_parts(TABLE_PROGRESS, PROGRESS_PARTS):
             for row in page.rows:
-                self._note_old_progress(row)
+                self._keep_stored_progress(row)
 
-    def _note_old_progress(self, row: StoredRow) -> None:
+    def _keep_stored_progress(self, row: StoredRow) -> None:
         if row.payload is None:
             return
         try:
-            self._old_progress[row.key] = (decode_progress(row.payload), row.version)
+            self._stored_progress[row.key] = (decode_progress(row.payload), row.version)
         except RowFormatError as error:
-            # What the job has done is not known, so none of its tasks may start.
-            self._unreadable_jobs.add(row.key)
-            log.warning('job %s is not scheduled: %s', row.key, error)
+            # It is unknown which tasks of the job are done, so none of them may start.
+            self._unreadable_progress_ids.add(row.key)
+            log.warning(
+                'job %s: unreadable progress row, its tasks are not started: %s', row.key, error
+            )
 
     def _start_vm_tasks(self, address: Address) -> None:
         client = VmClient(address, self._may_order_vm)
         self._watch = VmWatch(client, self.scheduler_state, self._clock)
-        upkeep = self._make_upkeep(client, self._watch)
-        pools = self._make_pools(client, self._watch)
+        upkeep = self._make_maintenance_keeper(client, self._watch)
+        pools = self._make_pool_keeper(client, self._watch)
         self._start('upkeep', upkeep.run)
         self._start('pools', pools.run)
-        needed = partial(self._needs_list, upkeep, pools)
+        needed = partial(self._needs_vm_list, upkeep, pools)
         self._start('VM list', partial(self._watch.run, needed, self._wake_planner))
 
-    def _is_dead(self, target_id: str) -> bool:
-        """Return whether the list of VMs shows that the target's life is over."""
+    def _is_gone(self, target_id: str) -> bool:
+        """Return whether the VM list shows that this incarnation of the target has ended."""
         return self._watch is not None and self._watch.is_dead(target_id, self._term.taken_s)
 
-    def _needs_list(self, upkeep: UpkeepKeeper, pools: PoolKeeper) -> bool:
-        return upkeep.is_busy() or pools.is_busy() or self._has_doubt()
+    def _needs_vm_list(self, upkeep: UpkeepKeeper, pools: PoolKeeper) -> bool:
+        return upkeep.is_busy() or pools.is_busy() or self._has_unconfirmed_runs()
 
-    def _has_doubt(self) -> bool:
-        """Return whether the list of VMs could tell that runs have ended with their VM."""
-        if not self._settlement.done:
+    def _has_unconfirmed_runs(self) -> bool:
+        """Return whether the VM list could show that runs have ended with their VM."""
+        if not self._reconciliation.done:
             return True
         return any(
             record.silent and record.runs for record in self.scheduler_state.targets.values()
         )
 
-    def _make_pools(self, client: VmClient, watch: VmWatch) -> PoolKeeper:
+    def _make_pool_keeper(self, client: VmClient, watch: VmWatch) -> PoolKeeper:
         return PoolKeeper(
             self._term,
             self._settings.name,
@@ -251,7 +255,7 @@
     def _wake_planner(self) -> None:
         self._wake.set()
 
-    def _make_upkeep(self, client: VmClient, watch: VmWatch) -> UpkeepKeeper:
+    def _make_maintenance_keeper(self, client: VmClient, watch: VmWatch) -> UpkeepKeeper:
         return UpkeepKeeper(
             self._term,
             self._settings.name,
@@ -263,12 +267,12 @@
             self._keeper,
             self.scheduler_state,
             self._clock,
-            self.publish,
+            self.submit_orders,
         )
 
     # Jobs
 
-    def _take_intake(self, row: StoredRow) -> None:
+    def _handle_intake_row(self, row: StoredRow) -> None:
         if row.payload is None:
             self._retention.record_removed(row.key)
             return
@@ -279,35 +283,35 @@
         try:
             accepted = decode_accepted(row.payload)
         except RowFormatError as error:
-            log.warning('job %s is not read: %s', row.key, error)
+            log.warning('job %s: unreadable accepted row, the job is ignored: %s', row.key, error)
             return
-        if row.key in self._unreadable_jobs:
+        if row.key in self._unreadable_progress_ids:
             return
         # A job has no progress row before its first change.
-        progress, version = self._old_progress.pop(row.key, (Progress(), 0))
+        progress, version = self._stored_progress.pop(row.key, (Progress(), 0))
         if isinstance(accepted, EndedJob):
             self._retention.record_tombstone(row.key, row.version, version)
             return
-        new = row.version > self._term.taken_version
+        is_new = row.version > self._term.taken_version
         self._retention.record_accepted(row.key, row.version)
         self.scheduler_state.add_job(
-            accepted, progress, version, reconciled=new or self._settlement.done
+            accepted, progress, version, reconciled=is_new or self._reconciliation.done
         )
         self._wake.set()
 
     # Targets
 
-    def _note_listed(self, rows: tuple[StoredRow, ...]) -> None:
+    def _mark_unlisted_targets(self, rows: tuple[StoredRow, ...]) -> None:
         listed = {row.key for row in rows}
         for target_id, record in self.scheduler_state.targets.items():
             if target_id not in listed:
                 record.leaving = True
 
-    def _take_target(self, row: StoredRow) -> None:
+    def _handle_target_row(self, row: StoredRow) -> None:
         record = self.scheduler_state.targets.get(row.key)
         if row.payload is None:
             if record is not None:
-                log.info('target %s: its entry is gone', row.key)
+                log.info('target %s: its entry was removed, it gets no new runs', row.key)
                 record.leaving = True
             return
         entry = decode_target(row.key, row.payload)
@@ -332,7 +336,7 @@
             self._keeper,
             self._clock,
             self._settings.timings.lease_limit_s,
-            self.publish,
+            self.submit_orders,
             self._metrics,
         )
         self._links[target_id] = link
@@ -349,11 +353,11 @@
 
     async def _tick(self) -> None:
         while True:
-            await trio.sleep(TICK_S)
+            await trio.sleep(TICK_INTERVAL_S)
             self._keeper.published_pending = self.scheduler_state.count_pending()
             self._wake.set()
 
-    async def _note_levels(self) -> None:
+    async def _report_levels(self) -> None:
         while True:
             await trio.sleep(LEVELS_INTERVAL_S)
             self._set_levels()
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -1,4 +1,4 @@
-"""Decides from the board which tasks start now, and on which targets."""
+"""Decides which waiting tasks start now, and on which targets."""
 
 import logging
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -19,11 +19,12 @@
 from comfreywind.scheduling.target_record import TargetRecord
 from comfreywind.supervision import note_unexpected
 
-# Run ids of one term; a task that is started more often than that waits for the next term.
-RUNS_PER_TERM = 1_000
-# The service takes a time for each target that a question names.
-TARGETS_PER_QUESTION = 30
-# Left of a ticket's validity for the order to reach the target.
+# Each term gives the runs of a task ids from a range of this size, so that the ids of a later term
+# are higher.
+RUN_IDS_PER_TERM = 1_000
+# The advice service needs time for each target that a question names.
+MAX_TARGETS_PER_QUESTION = 30
+# The part of a ticket's validity that is kept for the order to reach the target.
 TICKET_MARGIN_S = 0.4
 MS_PER_S = 1000
 NO_TARGETS: frozenset[str] = frozenset()
@@ -32,32 +33,32 @@
 
 
 class Planner:
-    """Starts of the tasks that wait on a board."""
+    """Plans the starts of the waiting tasks of a scheduler state."""
 
     def __init__(
         self,
         scheduler_state: SchedulerState,
-        order_work: FindTurn = find_turn,
+        sort_key: FindTurn = find_turn,
         metrics: Metrics | None = None,
     ) -> None:
-        """Plan for this board, with jobs in the order of work that the function gives."""
+        """Plan for `scheduler_state`, with the jobs of a pool in the order of `sort_key`."""
         self._metrics = metrics or NoMetrics()
-        self._order_work = order_work
+        self._sort_key = sort_key
         self._state = scheduler_state
         self._advice: dict[tuple[str, int, int], Advice] = {}
-        self._questions: list[AdviceQuestion] = []
-        self._refused: list[Resources] = []
-        self._rooms = RoomIndex(())
+        self._open_questions: list[AdviceQuestion] = []
+        self._unplaced_requests: list[Resources] = []
+        self._capacity_index = RoomIndex(())
         self._now_s = float('-inf')
 
     def plan(self, now_s: float, now_ms: float) -> list[Order]:
-        """Return the starts that can be ordered now."""
+        """Return the start orders that can be sent now, and record their runs in the state."""
         orders: list[Order] = []
-        self._questions.clear()
+        self._open_questions.clear()
         waiting_by_pool: dict[str, list[JobRecord]] = {}
         self._now_s = now_s
         for record in list(self._state.open_jobs.values()):
-            if not self._try(record, partial(self._unlock_steps, record, now_ms)):
+            if not self._run_or_suspend(record, partial(self._unlock_steps, record, now_ms)):
                 continue
             if record.waiting and record.reconciled:
                 waiting_by_pool.setdefault(self._state.get_pool(record), []).append(record)
@@ -68,17 +69,21 @@
         return orders
 
     def select_question(self, now_s: float) -> AdviceQuestion | None:
-        """Return the first question that the last plan had to leave open."""
-        for question in self._questions:
+        """Return the first question of the last plan that is still unanswered, if there is one."""
+        for question in self._open_questions:
             advice = self._advice.get((question.job_id, question.occurrence, question.step))
             if advice is None or _needs_question(advice, question.target_ids, now_s):
                 return question
         return None
 
     def record_advice(
-        self, question: AdviceQuestion, tickets: dict[str, str], asked_s: float
+        self, question: AdviceQuestion, tickets: dict[str, str], requested_s: float
     ) -> None:
-        """Take in an answer; the tickets count from the question, as the service may have."""
+        """Record the tickets that answer a question.
+
+        Their validity counts from `requested_s`, when the question was sent: the service may have
+        issued them at any time since.
+        """
         key = (question.job_id, question.occurrence, question.step)
         record = self._state.jobs.get(question.job_id)
         if record is None:
@@ -87,10 +92,10 @@
         advice.asked.update(question.target_ids)
         advice.tickets.update(tickets)
         validity_s = record.job.queue.advice_validity_ms / MS_PER_S
-        advice.valid_until_s = asked_s + validity_s - TICKET_MARGIN_S
+        advice.valid_until_s = requested_s + validity_s - TICKET_MARGIN_S
 
     def _list_ready(self, pools: Collection[str], now_s: float) -> dict[str, list[TargetRecord]]:
-        """Return the targets of each pool that may get work now, in one pass over all targets."""
+        """Return the targets by pool that may get work now, in one pass over all targets."""
         ready: dict[str, list[TargetRecord]] = {pool: [] for pool in pools}
         for target in self._state.targets.values() if ready else ():
             if target.entry.pool in ready and target.may_start(now_s):
@@ -100,29 +105,32 @@
     def _plan_pool(
         self, targets: list[TargetRecord], records: list[JobRecord], now_ms: float
     ) -> list[Order]:
-        self._rooms = RoomIndex(map(_describe_room, targets))
+        self._capacity_index = RoomIndex(map(_describe_capacity, targets))
         orders: list[Order] = []
-        records.sort(key=lambda record: self._order_work(self._describe(record), now_ms))
-        self._refused.clear()
+        records.sort(key=lambda record: self._sort_key(self._get_urgency(record), now_ms))
+        self._unplaced_requests.clear()
         for record in records:
             starts: list[Order] = []
-            if self._try(record, partial(self._start_waiting, record, targets, starts)):
+            if self._run_or_suspend(record, partial(self._start_waiting, record, targets, starts)):
                 orders.extend(starts)
         return orders
 
-    def _try(self, record: JobRecord, work: Callable[[], None]) -> bool:
-        """Do a part of the plan for one job; set the job aside when that fails."""
+    def _run_or_suspend(self, record: JobRecord, work: Callable[[], None]) -> bool:
+        """Run a part of the plan for one job; suspend the job when that raises an error."""
         try:
             work()
         except Exception as error:
-            # Another plan would fail alike, and with it the starts of all other jobs.
-            log.error('job %s is set aside', record.job.job_id)
+            # The next plan would fail in the same way, and no other job would be started.
+            log.error(
+                'job %s: planning failed, no more of its tasks are started in this term',
+                record.job.job_id,
+            )
             note_unexpected('planner', error, self._metrics)
             self._state.suspend_job(record, self._now_s)
             return False
         return True
 
-    def _describe(self, record: JobRecord) -> JobStanding:
+    def _get_urgency(self, record: JobRecord) -> JobStanding:
         queue = self._state.rules.queues.get(record.job.queue.name, record.job.queue)
         return JobStanding(
             lasting=record.job.lasting,
@@ -141,7 +149,7 @@
         for key in record.waiting:
             by_step.setdefault((key.occurrence, key.step), []).append(key)
         for step_key, keys in by_step.items():
-            allowed = self._find_approved(record, step_key, targets)
+            allowed = self._list_approved(record, step_key, targets)
             if record.job.steps[step_key[1]].gang:
                 orders.extend(self._start_gang(record, keys, allowed))
             else:
@@ -162,35 +170,35 @@
     def _start_gang(
         self, record: JobRecord, keys: list[TaskKey], allowed: Collection[str] | None
     ) -> list[Order]:
-        """Start all tasks of a gang with one run id, or none.
+        """Return the starts of all tasks of a gang with one run id, or no starts.
 
-        A gang whose earlier run has not ended everywhere waits, because its tasks work only with
-        those of the same run.
+        A gang of which an earlier run has not ended everywhere waits, because its tasks can only
+        work with tasks of the same run.
         """
         step = record.job.steps[keys[0].step]
         if len(keys) < step.task_count:
             return []
         within = self._narrow_to_rack(step, allowed) if step.same_rack else allowed
         run_id = self._find_run_id(record, keys)
-        refused_before = len(self._refused)
+        unplaced_count_before = len(self._unplaced_requests)
         orders: list[StartOrder] = []
         for key in keys:
             order = self._start_task(record, key, run_id, within)
             if order is None:
-                self._take_back(record, orders)
-                # The room that the members took is free again for others.
-                del self._refused[refused_before:]
+                self._undo_starts(record, orders)
+                # The capacity that the members had reserved is free for other tasks again.
+                del self._unplaced_requests[unplaced_count_before:]
                 return []
             orders.append(order)
         return list(orders)
 
-    def _take_back(self, record: JobRecord, orders: Iterable[StartOrder]) -> None:
-        """Undo starts that were not sent."""
+    def _undo_starts(self, record: JobRecord, orders: Iterable[StartOrder]) -> None:
+        """Undo starts whose orders were not sent."""
         for order in orders:
             record.last_run_ids[order.key] = order.run_id - 1
             self._state.discard_run(record.runs[order.key])
             self._state.requeue(order.key)
-            self._note_room(order.target_id)
+            self._update_capacity(order.target_id)
 
     def _start_task(
         self,
@@ -200,48 +208,48 @@
         allowed: Collection[str] | None,
     ) -> StartOrder | None:
         step = record.job.steps[key.step]
-        if self._is_refused(step) or not self._is_below_ceiling(record.job.team, step.request):
+        if self._is_unplaceable(step) or not self._is_below_ceiling(record.job.team, step.request):
             return None
         avoided = record.failed_on.get(key, NO_TARGETS)
         spread = step.target_limit or step.unavailable_limit
         same_step = self._count_same_step(record, key) if spread else NO_COUNTS
-        room = self._rooms.choose(step, avoided, same_step, allowed)
-        if room is None:
-            self._note_refused(step, bool(record.job.queue.advice_validity_ms))
+        chosen = self._capacity_index.choose(step, avoided, same_step, allowed)
+        if chosen is None:
+            self._record_unplaced(step, bool(record.job.queue.advice_validity_ms))
             return None
-        self._add_run(record, key, run_id, room.target_id)
-        self._note_room(room.target_id)
+        self._add_run(record, key, run_id, chosen.target_id)
+        self._update_capacity(chosen.target_id)
         advice = self._advice.get((key.job_id, key.occurrence, key.step))
         return StartOrder(
-            room.target_id,
+            chosen.target_id,
             key,
             run_id,
             record.job.spec,
             record.get_checkpoint(key),
-            '' if advice is None else advice.tickets.get(room.target_id, ''),
+            '' if advice is None else advice.tickets.get(chosen.target_id, ''),
         )
 
-    def _is_refused(self, step: Step) -> bool:
-        """Return whether this plan has found no room for a request that is not larger."""
+    def _is_unplaceable(self, step: Step) -> bool:
+        """Return whether this plan found no target for a request that is not larger."""
         request = find_request(step)
-        return any(refused.fits(request) for refused in self._refused)
+        return any(unplaced.fits(request) for unplaced in self._unplaced_requests)
 
-    def _note_refused(self, step: Step, queue_is_advised: bool) -> None:
-        """Remember a request without room, unless it was refused for another reason."""
+    def _record_unplaced(self, step: Step, queue_is_advised: bool) -> None:
+        """Record a request that fits on no target, unless more than capacity limits the step."""
         narrowed = step.required_label or step.target_limit or step.same_rack
         if not narrowed and not queue_is_advised:
-            self._refused.append(find_request(step))
+            self._unplaced_requests.append(find_request(step))
 
-    def _note_room(self, target_id: str) -> None:
-        """Take in that a target has more or less room, or takes no further task."""
+    def _update_capacity(self, target_id: str) -> None:
+        """Update the index after the free capacity of a target has changed."""
         target = self._state.targets[target_id]
         if target.may_start(self._now_s):
-            self._rooms.replace(_describe_room(target))
+            self._capacity_index.replace(_describe_capacity(target))
         else:
-            self._rooms.remove(target_id)
+            self._capacity_index.remove(target_id)
 
     def _find_run_id(self, record: JobRecord, keys: list[TaskKey]) -> int:
-        first = (self._state.epoch - 1) * RUNS_PER_TERM
+        first = (self._state.epoch - 1) * RUN_IDS_PER_TERM
         return 1 + max(record.last_run_ids.get(key, first) for key in keys)
 
     def _add_run(self, record: JobRecord, key: TaskKey, run_id: int, target_id: str) -> None:
@@ -264,21 +272,21 @@
         )
         self._state.add_run(run, record)
 
-    def _find_approved(
+    def _list_approved(
         self, record: JobRecord, step_key: tuple[int, int], targets: list[TargetRecord]
     ) -> Collection[str] | None:
-        """Return the targets with a valid ticket, and note the question for the others.
+        """Return the targets with a valid ticket, and record a question if some lack an answer.
 
-        Returns None when the queue asks for no advice.
+        Returns None, for all targets, when the queue requires no advice.
         """
         if not record.job.queue.advice_validity_ms:
             return None
         occurrence, number = step_key
         job_id = record.job.job_id
         advice = self._advice.setdefault((job_id, occurrence, number), Advice())
-        named = tuple(target.entry.target_id for target in targets)[:TARGETS_PER_QUESTION]
+        named = tuple(target.entry.target_id for target in targets)[:MAX_TARGETS_PER_QUESTION]
         if _needs_question(advice, named, self._now_s):
-            self._questions.append(AdviceQuestion(job_id, occurrence, number, named))
+            self._open_questions.append(AdviceQuestion(job_id, occurrence, number, named))
         return NO_TARGETS if self._now_s >= advice.valid_until_s else advice.tickets.keys()
 
     def _unlock_steps(self, record: JobRecord, now_ms: float) -> None:
@@ -298,12 +306,16 @@
     def _narrow_to_rack(
         self, step: Step, allowed: Collection[str] | None
     ) -> Collection[str] | None:
-        """Return the allowed targets of a rack with room for all tasks, if there is one."""
-        rooms = [room for room in self._rooms if allowed is None or room.target_id in allowed]
-        rack = choose_rack(step, rooms)
+        """Return the allowed targets of a rack that fits all tasks, or `allowed` without one."""
+        candidates = [
+            candidate
+            for candidate in self._capacity_index
+            if allowed is None or candidate.target_id in allowed
+        ]
+        rack = choose_rack(step, candidates)
         if rack is None:
             return allowed
-        return {room.target_id for room in rooms if rack in room.labels}
+        return {candidate.target_id for candidate in candidates if rack in candidate.labels}
 
     def _count_same_step(self, record: JobRecord, key: TaskKey) -> Mapping[str, int]:
         counts: dict[str, int] = {}
@@ -313,7 +325,7 @@
         return counts
 
 
-def _describe_room(target: TargetRecord) -> TargetRoom:
+def _describe_capacity(target: TargetRecord) -> TargetRoom:
     return TargetRoom(
         target.entry.target_id,
         target.free,
--- a/comfreywind/scheduling/row_feed.py
+++ b/comfreywind/scheduling/row_feed.py
@@ -1,4 +1,4 @@
-"""Follows the rows of one table of the store."""
+"""Reads all rows of one table of the store, and then its changes."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -16,14 +16,14 @@
 
 log = logging.getLogger('comfreywind.feed')
 
-TakeRow = Callable[[StoredRow], None]
-NoteWhole = Callable[[tuple[StoredRow, ...]], None]
+RowHandler = Callable[[StoredRow], None]
+SnapshotHandler = Callable[[tuple[StoredRow, ...]], None]
 
 
 class RowFeed:
-    """Reads a table whole, then its changes; reads it whole again when history was dropped.
+    """Reads a snapshot of a table, then its changes; a new snapshot when the history was dropped.
 
-    `confirmed_s` is when the last answer was asked for that showed the rows as they were then.
+    `confirmed_s` is the latest time, on the node's steady clock, of which all changes are known.
     """
 
     def __init__(
@@ -31,60 +31,60 @@
         rows: RowsClient,
         table: str,
         parts: Iterable[str],
-        take_row: TakeRow,
+        handle_row: RowHandler,
         clock: Clock,
-        note_whole: NoteWhole | None = None,
+        handle_snapshot: SnapshotHandler | None = None,
         after: trio.Event | None = None,
         metrics: Metrics | None = None,
     ) -> None:
-        """Give each row that was read or changed to `take_row`.
+        """Pass each row that was read or changed to `handle_row`.
 
-        `note_whole` gets each whole reading before its rows are given out one by one. Rows may be
-        read before `after` is set, but none is given out until then.
+        `handle_snapshot` gets all rows of a snapshot before they are passed on one by one. Rows may
+        be read before `after` is set, but none is passed on until then.
         """
         self._after = after
         self._metrics = metrics or NoMetrics()
         self._rows = rows
         self._table = table
         self._parts = tuple(parts)
-        self._take_row = take_row
-        self._note_whole = note_whole
+        self._handle_row = handle_row
+        self._handle_snapshot = handle_snapshot
         self._clock = clock
         self.confirmed_s: float | None = None
         self.loaded = trio.Event()
 
     async def run(self) -> None:
-        """Follow the table for ever."""
+        """Follow the table until cancelled."""
         version: int | None = None
         while True:
             try:
                 version = await self._read_next(version)
             except HistoryLostError as error:
-                log.info('%s; reading the table again', error)
+                log.info('%s; reading the whole table again', error)
                 version = None
             except StoreUnavailableError as error:
-                log.info('%s: %s', self._table, error)
+                log.info('table %s not read, trying again: %s', self._table, error)
                 await trio.sleep(RETRY_S)
 
     async def _read_next(self, version: int | None) -> int:
-        asked_s = self._clock.read_monotonic_s()
+        requested_s = self._clock.read_monotonic_s()
         if version is None:
-            return await self._read_whole(asked_s)
+            return await self._read_snapshot(requested_s)
         page = await self._rows.read_changes(self._table, version)
         for row in page.rows:
-            self._take(row)
-        # A feed that waited showed the rows as they were when it was answered.
-        self.confirmed_s = asked_s if page.rows else self._clock.read_monotonic_s()
+            self._deliver(row)
+        # An answer without changes is sent at the end of the wait, so it is valid for now.
+        self.confirmed_s = requested_s if page.rows else self._clock.read_monotonic_s()
         return page.version
 
-    def _take(self, row: StoredRow) -> None:
+    def _deliver(self, row: StoredRow) -> None:
         try:
-            self._take_row(row)
+            self._handle_row(row)
         except Exception as error:
-            log.error('%s: row %s is skipped', self._table, row.key)
+            log.error('table %s: row %s skipped after an unexpected error', self._table, row.key)
             note_unexpected('feed', error, self._metrics)
 
-    async def _read_whole(self, asked_s: float) -> int:
+    async def _read_snapshot(self, requested_s: float) -> int:
         rows: list[StoredRow] = []
         versions: list[int] = []
         for page in await self._rows.read_parts(self._table, self._parts):
@@ -92,10 +92,10 @@
             versions.append(page.version)
         if self._after is not None:
             await self._after.wait()
-        if self._note_whole is not None:
-            self._note_whole(tuple(rows))
+        if self._handle_snapshot is not None:
+            self._handle_snapshot(tuple(rows))
         for row in rows:
-            self._take(row)
-        self.confirmed_s = asked_s
+            self._deliver(row)
+        self.confirmed_s = requested_s
         self.loaded.set()
         return min(versions)
--- a/comfreywind/scheduling/rules_follower.py
+++ b/comfreywind/scheduling/rules_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the rules in force and the waves of upkeep as the operator wrote them."""
+"""Follows the operator's table: the rules in force and the maintenance waves."""
 
 import logging
 
@@ -12,63 +12,68 @@
 from comfreywind.platform.wire import KEY_CONFIG, PREFIX_WAVE, TABLE_OPERATOR
 from comfreywind.scheduling.row_feed import RowFeed
 
-# With the wait of a feed of 0.7 s, a change shows well within the 2 s that the users allow.
+# A feed request waits up to 0.7 s, so a change is known well within the 2 s that the users allow.
+# Beyond this age without a confirmation, the rules may be out of date.
 STALE_S = 1.9
 
 log = logging.getLogger('comfreywind.rules')
 
 
 class RulesFollower:
-    """Owns the rules of this node; an older version never replaces a newer one."""
+    """Owns this node's rules and waves; an older version of the rules never replaces a newer one."""
 
     def __init__(self, rows: RowsClient, clock: Clock) -> None:
-        """Follow the operator's table through the store's client."""
+        """Read the operator's table with the store's client."""
         self._clock = clock
-        self._feed = RowFeed(rows, TABLE_OPERATOR, ('',), self._take_row, clock)
+        self._feed = RowFeed(rows, TABLE_OPERATOR, ('',), self._handle_row, clock)
         self.rules: JobRules | None = None
         self.waves: dict[int, UpkeepWave] = {}
         self._wave_end_s: dict[int, float] = {}
 
     async def run(self) -> None:
-        """Follow the table for ever."""
+        """Follow the table until cancelled."""
         await self._feed.run()
 
     async def wait_loaded(self) -> None:
-        """Return once the table was read for the first time."""
+        """Return once the whole table has been read for the first time."""
         await self._feed.loaded.wait()
 
     def is_fresh(self) -> bool:
-        """Return whether a newer version would be known by now."""
+        """Return whether the rules are known and were confirmed less than `STALE_S` ago."""
         confirmed_s = self._feed.confirmed_s
         if self.rules is None or confirmed_s is None:
             return False
         return self._clock.read_monotonic_s() - confirmed_s < STALE_S
 
     def get_wave_end_s(self, wave: int) -> float:
-        """Return when the wave should be complete, by the time this node first saw it."""
+        """Return when the wave should be complete, counted from when this node first read it."""
         return self._wave_end_s[wave]
 
-    def _take_row(self, row: StoredRow) -> None:
+    def _handle_row(self, row: StoredRow) -> None:
         if row.payload is None:
             return
         if row.key == KEY_CONFIG:
-            self._take_rules(row.payload)
+            self._apply_rules(row.payload)
         elif row.key.startswith(PREFIX_WAVE):
             wave = decode_wave(row.payload)
             if wave is not None:
-                self._take_wave(wave)
+                self._apply_wave(wave)
 
-    def _take_wave(self, wave: UpkeepWave) -> None:
+    def _apply_wave(self, wave: UpkeepWave) -> None:
         end_s = self._clock.read_monotonic_s() + wave.duration_s
         self._wave_end_s.setdefault(wave.wave, end_s)
         self.waves[wave.wave] = wave
 
-    def _take_rules(self, payload: bytes) -> None:
+    def _apply_rules(self, payload: bytes) -> None:
         rules = decode_rules(payload)
         if rules is None:
             return
         if self.rules is not None and rules.version < self.rules.version:
-            log.warning('rules version %d is older than %d', rules.version, self.rules.version)
+            log.warning(
+                'rules version %d ignored, because it is older than version %d in force',
+                rules.version,
+                self.rules.version,
+            )
             return
         self.rules = rules
         log.info('rules version %d in force, %d queues', rules.version, len(rules.queues))
