--- a/comfreywind/scheduling/reconciliation.py
+++ b/comfreywind/scheduling/reconciliation.py
@@ -1,4 +1,4 @@
-"""Finds out when the jobs of an earlier holder may be started by this one."""
+"""Decides when this holder may start the jobs that earlier holders may have started."""
 
 import logging
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 from comfreywind.scheduling.target_link import EARLIER_RUNS_LAPSE_S
 from comfreywind.scheduling.term_keeper import HeldTerm
 
-# Well under the answer of a calm store, so that looking adds nothing to a change of the holder.
-INTERVAL_S = 0.03
+# Well below the usual response time of the store, so that polling does not delay a takeover.
+CHECK_INTERVAL_S = 0.03
 
 log = logging.getLogger('comfreywind.holder')
 
 
 class Reconciliation:
-    """Allows starts of older jobs once no run of an earlier holder can be unseen."""
+    """Allows starts of older jobs once all runs of earlier holders are known or have lapsed."""
 
     def __init__(
         self,
@@ -33,62 +33,71 @@
         journal: ProgressJournal,
         registry: TargetRegistry,
         clock: Clock,
-        is_dead: Callable[[str], bool],
+        is_gone: Callable[[str], bool],
     ) -> None:
-        """Use the holder's parts; `is_dead` tells whether a target's life is certainly over."""
+        """Use the holder's components; `is_gone` returns whether a target has certainly ended."""
         self._term = term
         self._rows = rows
         self._state = scheduler_state
         self._journal = journal
         self._registry = registry
         self._clock = clock
-        self._is_dead = is_dead
+        self._is_gone = is_gone
         self.done = False
 
-    async def run(self, note_done: Callable[[], None]) -> None:
-        """Look until the older jobs may be started; a slow store must not hold up planning."""
+    async def run(self, notify_done: Callable[[], None]) -> None:
+        """Check until the older jobs may be started, then call `notify_done`.
+
+        The checks have a task of their own, so that a slow store does not hold up planning.
+        """
         while not self.done:
-            await trio.sleep(INTERVAL_S)
-            await self._try()
-        note_done()
+            await trio.sleep(CHECK_INTERVAL_S)
+            await self._reconcile()
+        notify_done()
 
-    async def _try(self) -> None:
-        """Settle if every target of the roster was heard or is gone.
+    async def _reconcile(self) -> None:
+        """Reconcile if every target that earlier holders registered has reported or is gone.
 
-        Until this holder's fence had reached a target, the earlier one could still store ends and
-        acknowledge them there. So the progress is read once more after that.
+        Until this holder's fence has reached a target, an earlier holder can still store ends of
+        runs and acknowledge them to the target. So the progress is read again after that.
         """
         waited_s = self._clock.read_monotonic_s() - self._term.taken_s
-        unseen = [
-            target_id for target_id in self._registry.earlier_targets if self._is_unseen(target_id)
+        unconfirmed = [
+            target_id
+            for target_id in self._registry.earlier_targets
+            if self._is_unconfirmed(target_id)
         ]
         if not may_reconcile(
-            len(unseen), self._registry.earlier_targets_known, waited_s, EARLIER_RUNS_LAPSE_S
+            len(unconfirmed), self._registry.earlier_targets_known, waited_s, EARLIER_RUNS_LAPSE_S
         ):
             return
         try:
-            await self._join_progress()
+            await self._merge_progress()
         except StoreUnavailableError as error:
-            log.info('term %d: progress is not read again yet: %s', self._term.epoch, error)
+            log.info(
+                'term %d: progress rows not read, so older jobs still wait: %s',
+                self._term.epoch,
+                error,
+            )
             return
         self.done = True
         self._registry.drop_earlier_targets()
         self._state.mark_reconciled(self._state.jobs.values())
         log.info(
-            'term %d: settled after %.2f s, %d targets not seen',
+            'term %d: reconciled %.2f s after the takeover; targets without a report: %d',
             self._term.epoch,
             waited_s,
-            len(unseen),
+            len(unconfirmed),
         )
 
-    async def _join_progress(self) -> None:
+    async def _merge_progress(self) -> None:
         for page in await self._rows.read_parts(TABLE_PROGRESS, PROGRESS_PARTS):
             for row in page.rows:
                 record = self._state.jobs.get(row.key)
                 if record is not None and row.version > record.progress_version:
                     self._journal.merge_row(record, row)
 
-    def _is_unseen(self, target_id: str) -> bool:
+    def _is_unconfirmed(self, target_id: str) -> bool:
         record = self._state.targets.get(target_id)
-        heard = record is not None and record.reported
-        return not heard and not self._is_dead(target_id)
+        has_reported = record is not None and record.reported
+        return not has_reported and not self._is_gone(target_id)
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -1,4 +1,4 @@
-"""Owns the connections to one target: extends its lease, reads its lists, sends orders."""
+"""Owns the connections to one target: extends its lease, reads its reports, sends orders."""
 
 import logging
 from collections.abc import Callable
@@ -20,34 +20,36 @@
 from comfreywind.scheduling.term_keeper import TermKeeper
 from comfreywind.supervision import note_unexpected
 
-# Long enough to outlast a change of the holder, short enough that the work of a lost target soon
-# starts elsewhere.
+# Long enough that runs survive a change of the holder, short enough that the work of a lost target
+# soon starts elsewhere.
 RUN_LEASE_S = 5.0
-# The clock of a target may be 2 % slow; the rest is for the way of the order.
+# The clock of a target may be 2 % slow; the margin covers the transfer of an order.
 CLOCK_DRIFT_RATIO = 1.02
 LEASE_MARGIN_S = 0.4
-# After this time every run of an earlier holder has lapsed.
+# This long after the takeover, every run of an earlier holder has lapsed.
 EARLIER_RUNS_LAPSE_S = RUN_LEASE_S * CLOCK_DRIFT_RATIO + LEASE_MARGIN_S + 0.1
+# The longest time for which a target may keep a hold request open until it reports.
 MAX_HOLD_WAIT_S = 1.0
-# For a target with orders whose outcome only its lists show.
-UNSETTLED_WAIT_S = 0.2
-# A list is answered early when a run ends, not when a lasting task begins to serve; until then no
-# other task of its step may be taken away.
+# The same for a target with a run that is not confirmed: only a report shows what became of it.
+UNCONFIRMED_WAIT_S = 0.2
+# A target reports early when a run ends, but not when a long-running task begins to serve. Until
+# that is known, no other task of its step may be made unavailable.
 WARM_UP_WAIT_S = 0.5
-# A target without runs is looked at less often; only its lists after a silence matter.
-IDLE_LOOK_S = 2.5
-SILENT_RETRY_S = 0.3
-# A silent target without runs is looked at less and less often: mostly its VM has been moved.
-LONGEST_SILENT_RETRY_S = 2.4
-STORE_WAIT_S = 0.25
-STOP_RETRY_S = 0.3
+# A target without runs is polled less often, because only its reports after a silence matter.
+IDLE_POLL_INTERVAL_S = 2.5
+SILENT_RETRY_INTERVAL_S = 0.3
+# Upper bound of the exponential backoff for a silent target without runs, whose VM has usually been
+# moved.
+MAX_SILENT_RETRY_INTERVAL_S = 2.4
+MAX_STORE_WAIT_S = 0.25
+STOP_RETRY_DELAY_S = 0.3
 MS_PER_S = 1000
 
 log = logging.getLogger('comfreywind.targets')
 
 
 class TargetLink:
-    """The task of one target."""
+    """Polls one target and sends orders to it until the target is gone or the term has ended."""
 
     def __init__(
         self,
@@ -58,10 +60,13 @@
         keeper: TermKeeper,
         clock: Clock,
         lease_limit_s: float,
-        publish: Callable[[list[Order]], None],
+        submit_orders: Callable[[list[Order]], None],
         metrics: Metrics,
     ) -> None:
-        """Serve the target of the record; `publish` takes orders that follow from its reports."""
+        """Serve the target of `record`; `submit_orders` gets the orders that follow from its reports.
+
+        `lease_limit_s` is the longest lease that the platform allows.
+        """
         self._metrics = metrics
         self._record = record
         self._client = client
@@ -70,60 +75,60 @@
         self._keeper = keeper
         self._clock = clock
         self._lease_s = min(RUN_LEASE_S, lease_limit_s)
-        self._publish = publish
+        self._submit_orders = submit_orders
         self._clock_offset_ms: float | None = None
-        self._idle_retry_s = SILENT_RETRY_S
+        self._silent_retry_s = SILENT_RETRY_INTERVAL_S
         self._wake = trio.Event()
 
     async def run(self) -> None:
-        """Hold the target's lease until the target is gone or another holder has taken over."""
+        """Poll the target and extend its lease until it is gone or another holder took over."""
         target_id = self._record.entry.target_id
         try:
-            while await self._look():
+            while await self._poll():
                 await self._pause()
         except TargetReplacedError as error:
-            log.info('target %s: %s', target_id, error)
+            log.info('target %s: replaced, its runs are queued again: %s', target_id, error)
             self._record.leaving = True
             self._state.requeue_runs(self._record, self._clock.read_monotonic_s())
-            self._publish([])
+            self._submit_orders([])
         finally:
             with trio.CancelScope(shield=True), trio.move_on_after(0.1):
                 await self._client.close()
 
     def wake(self) -> None:
-        """Have the target looked at soon, because it has new runs."""
+        """Have the target polled soon, because it has new runs."""
         self._wake.set()
 
     async def send(self, order: Order) -> None:
-        """Send an order and tell the board what came of it."""
+        """Send an order and apply the answer to the scheduler state."""
         try:
             orders = await self._send(order)
         except Exception as error:
             note_unexpected('order', error, self._metrics)
-            orders = self._note_doubt(order)
-        self._publish(orders)
+            orders = self._apply_unconfirmed(order)
+        self._submit_orders(orders)
 
     @singledispatchmethod
-    def _note_doubt(self, order: Order) -> list[Order]:
-        """Take in that it is not known what came of an order."""
+    def _apply_unconfirmed(self, order: Order) -> list[Order]:
+        """Handle an order whose outcome is unknown; by default no orders follow."""
         return []
 
-    @_note_doubt.register
-    def _note_start_doubt(self, order: StartOrder) -> list[Order]:
+    @_apply_unconfirmed.register
+    def _apply_unconfirmed_start(self, order: StartOrder) -> list[Order]:
         now_s = self._clock.read_monotonic_s()
         return self._state.apply_start_answer(order, StartAnswer.UNKNOWN, now_s)
 
-    @_note_doubt.register
-    def _note_stop_doubt(self, order: StopOrder) -> list[Order]:
+    @_apply_unconfirmed.register
+    def _apply_unconfirmed_stop(self, order: StopOrder) -> list[Order]:
         return self._state.apply_stop_answer(order, False, self._clock.read_monotonic_s())
 
     @singledispatchmethod
     async def _send(self, order: Order) -> list[Order]:
-        raise TypeError(f'unknown order {order!r}')
+        raise TypeError(f'expected a StartOrder, StopOrder or PaceOrder, not {order!r}')
 
     @_send.register
     async def _send_start(self, order: StartOrder) -> list[Order]:
-        expires_ms = self._find_expiry_ms()
+        expires_ms = self._compute_expiry_ms()
         if expires_ms is None or not self._keeper.is_valid():
             return self._state.apply_start_answer(
                 order, StartAnswer.EXPIRED, self._clock.read_monotonic_s()
@@ -151,7 +156,7 @@
         if self._keeper.is_valid():
             confirmed = await self._client.stop(order.key, order.run_id, self._state.epoch)
         if not confirmed:
-            await trio.sleep(STOP_RETRY_S)
+            await trio.sleep(STOP_RETRY_DELAY_S)
         self._wake.set()
         return self._state.apply_stop_answer(order, confirmed, self._clock.read_monotonic_s())
 
@@ -161,90 +166,101 @@
             await self._client.pace(order.key, order.run_id, order.percent, self._state.epoch)
         return []
 
-    async def _look(self) -> bool:
-        """Ask for the lists once; return False when the link has to end."""
-        asked_s = self._clock.read_monotonic_s()
-        # A silent target may take an extension without an answer, so it gets none: its runs lapse.
-        extends = self._keeper.is_valid() and not self._record.silent
-        expires_ms = self._find_expiry_ms() if extends else None
+    async def _poll(self) -> bool:
+        """Request one report; return False when the link has to end."""
+        requested_s = self._clock.read_monotonic_s()
+        # A silent target could apply an extension whose answer is lost, so that its runs would never
+        # lapse. It gets no extension.
+        extends_lease = self._keeper.is_valid() and not self._record.silent
+        expires_ms = self._compute_expiry_ms() if extends_lease else None
         wait_ms = self._choose_wait_ms()
         acknowledged = self._record.acknowledged_number
-        # Without a term nothing more is acknowledged: a successor may not know of it.
-        if extends:
+        # Without a valid term nothing more is acknowledged: a successor may not have read the
+        # progress of these ends.
+        if extends_lease:
             acknowledged = self._record.stored_number
         try:
             report = await self._client.hold(self._state.epoch, acknowledged, expires_ms, wait_ms)
         except TargetSilentError as error:
             self._record.acknowledged_number = acknowledged
-            return self._note_silence(error)
+            return self._handle_silence(error)
         except CallNotPermittedError as error:
-            log.info('target %s: %s', self._record.entry.target_id, error)
+            log.info('target %s: not polled: %s', self._record.entry.target_id, error)
             return True
         self._record.acknowledged_number = acknowledged
         if report is None:
             self._keeper.step_down(f'target {self._record.entry.target_id} has a higher fence')
             return False
         try:
-            self._note_report(report, asked_s)
+            self._apply_report(report, requested_s)
         except Exception as error:
-            # A target whose lists can't be taken in gets no further lease, as one that is silent.
+            # A target whose reports can't be applied is treated as silent: its lease ends.
             note_unexpected('report', error, self._metrics)
-            return self._note_silence(TargetSilentError(f'report not taken in: {error!r}'))
+            return self._handle_silence(TargetSilentError(f'report not applied: {error!r}'))
         return True
 
-    def _note_report(self, report: TargetReport, asked_s: float) -> None:
+    def _apply_report(self, report: TargetReport, requested_s: float) -> None:
         now_s = self._clock.read_monotonic_s()
         self._clock_offset_ms = report.clock_ms - now_s * MS_PER_S
-        orders = self._state.apply_report(self._record, report, asked_s, now_s)
+        orders = self._state.apply_report(self._record, report, requested_s, now_s)
         if self._record.applied_number > self._record.stored_number:
             self._journal.wake()
-        self._publish(orders)
+        self._submit_orders(orders)
 
-    def _note_silence(self, error: TargetSilentError) -> bool:
+    def _handle_silence(self, error: TargetSilentError) -> bool:
         record = self._record
         if not record.silent:
-            log.info('target %s: %s', record.entry.target_id, error)
+            log.info(
+                'target %s: silent, its lease is not extended: %s', record.entry.target_id, error
+            )
         record.silent = True
         now_s = self._clock.read_monotonic_s()
         if now_s < record.lease_end_s:
             return True
         if record.runs:
-            log.info('target %s: %d runs have lapsed', record.entry.target_id, len(record.runs))
+            log.info(
+                'target %s: %d runs have lapsed and are queued again',
+                record.entry.target_id,
+                len(record.runs),
+            )
             self._state.requeue_runs(record, now_s)
-            self._publish([])
+            self._submit_orders([])
         return not record.leaving
 
     async def _pause(self) -> None:
         record = self._record
         if record.silent:
-            await trio.sleep(SILENT_RETRY_S if record.runs else self._idle_retry_s)
-            self._idle_retry_s = min(2 * self._idle_retry_s, LONGEST_SILENT_RETRY_S)
+            await trio.sleep(SILENT_RETRY_INTERVAL_S if record.runs else self._silent_retry_s)
+            self._silent_retry_s = min(2 * self._silent_retry_s, MAX_SILENT_RETRY_INTERVAL_S)
             return
-        self._idle_retry_s = SILENT_RETRY_S
+        self._silent_retry_s = SILENT_RETRY_INTERVAL_S
         if record.applied_number > record.stored_number:
-            await self._journal.wait_stored(STORE_WAIT_S)
+            await self._journal.wait_stored(MAX_STORE_WAIT_S)
             return
         if record.runs:
             return
         self._wake = trio.Event()
-        with trio.move_on_after(IDLE_LOOK_S):
+        with trio.move_on_after(IDLE_POLL_INTERVAL_S):
             await self._wake.wait()
 
     def _choose_wait_ms(self) -> int:
         record = self._record
-        first = self._clock_offset_ms is None or not record.reported
-        if first or record.silent or not record.runs:
+        is_first_report = self._clock_offset_ms is None or not record.reported
+        if is_first_report or record.silent or not record.runs:
             return 0
         if record.applied_number > record.stored_number:
             return 0
         if any(run.state is not RunState.RUNNING for run in record.runs.values()):
-            return int(UNSETTLED_WAIT_S * MS_PER_S)
+            return int(UNCONFIRMED_WAIT_S * MS_PER_S)
         if any(run.lasting and not run.at_work for run in record.runs.values()):
             return int(WARM_UP_WAIT_S * MS_PER_S)
         return int(MAX_HOLD_WAIT_S * MS_PER_S)
 
-    def _find_expiry_ms(self) -> int | None:
-        """Return the end of a full lease on the target's clock and note when it has lapsed."""
+    def _compute_expiry_ms(self) -> int | None:
+        """Return the end of a full lease on the target's clock, or None while that is unknown.
+
+        Records the latest time on the holder's clock at which such a lease may still be valid.
+        """
         if self._clock_offset_ms is None:
             return None
         now_s = self._clock.read_monotonic_s()
--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -1,4 +1,4 @@
-"""Stores which targets may have runs, for the holder that comes next."""
+"""Stores the ids of the targets that may have runs, for the next holder."""
 
 import logging
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from comfreywind.scheduling.target_record import TargetRecord
 from comfreywind.scheduling.term_row import decode_registry, encode_registry
 
-# A target that is gone may stay in the row so long; that only delays a later holder.
+# A target that is gone may stay in the row for this time, which only delays the next takeover.
 SHRINK_INTERVAL_S = 1.0
 RETRY_S = 0.1
 
@@ -24,10 +24,10 @@
 
 
 class TargetRegistry:
-    """Owns the row of targets; a target gets no run before the row names it.
+    """Owns the row of target ids; a target gets no run before the stored row names it.
 
-    Writing has a task of its own: while a slow store takes a new target in, work goes on to the
-    others.
+    The row is written in a task of its own, so that other targets get work while a slow store
+    answers.
     """
 
     def __init__(
@@ -35,67 +35,74 @@
         rows: RowsClient,
         scheduler_state: SchedulerState,
         clock: Clock,
-        note_change: Callable[[], None],
+        notify_change: Callable[[], None],
         permit: Permit,
     ) -> None:
-        """Use the store's client; `note_change` is called when further targets may get runs.
+        """Use the store's client; `notify_change` is called when further targets may get runs.
 
-        `permit` tells whether the term is held: a later holder's row must not be overwritten.
+        `permit` returns whether the term is still held, because the row of a later holder must not
+        be overwritten.
         """
         self._permit = permit
         self._rows = rows
         self._state = scheduler_state
         self._clock = clock
-        self._note_change = note_change
-        self._stored: frozenset[str] = frozenset()
+        self._notify_change = notify_change
+        self._stored_targets: frozenset[str] = frozenset()
         self._version = 0
         self._written_s = float('-inf')
         self._wake = trio.Event()
-        self._keeps_earlier = True
+        self._keeps_earlier_targets = True
         self.earlier_targets: frozenset[str] = frozenset()
         self.earlier_targets_known = True
 
     async def load(self) -> None:
-        """Read what earlier holders stored; raise StoreUnavailableError without an answer."""
-        self._take_earlier(await self._rows.read_row(TABLE_TERM, HOLDER_PART, REGISTRY_KEY))
+        """Read the targets that earlier holders stored.
+
+        Raises StoreUnavailableError when the store gives no answer.
+        """
+        self._apply_earlier_row(await self._rows.read_row(TABLE_TERM, HOLDER_PART, REGISTRY_KEY))
 
     def drop_earlier_targets(self) -> None:
-        """Drop targets of earlier holders once all that may run there is known."""
-        self._keeps_earlier = False
+        """Stop storing the targets of earlier holders; all runs there are known."""
+        self._keeps_earlier_targets = False
 
     def update(self) -> None:
-        """Have the row written if the targets have changed; returns at once."""
+        """Wake the writer if the row has to change, without waiting for it."""
         records = self._state.targets.values()
-        if any(_may_run(record) and not record.in_registry for record in records):
+        if any(_may_have_runs(record) and not record.in_registry for record in records):
             self._wake.set()
             return
         now_s = self._clock.read_monotonic_s()
-        if now_s - self._written_s > SHRINK_INTERVAL_S and self._list_wanted() != self._stored:
+        if (
+            now_s - self._written_s > SHRINK_INTERVAL_S
+            and self._list_targets_to_store() != self._stored_targets
+        ):
             self._wake.set()
 
     async def run(self) -> None:
-        """Write the row whenever it has to change, for ever."""
+        """Write the row whenever it has to change, until cancelled."""
         while True:
             await self._wake.wait()
             self._wake = trio.Event()
             while not await self._write():
                 await trio.sleep(RETRY_S)
-            self._note_change()
+            self._notify_change()
 
-    def _list_wanted(self) -> frozenset[str]:
-        wanted = frozenset(
-            target_id for target_id, record in self._state.targets.items() if _may_run(record)
+    def _list_targets_to_store(self) -> frozenset[str]:
+        to_store = frozenset(
+            target_id for target_id, record in self._state.targets.items() if _may_have_runs(record)
         )
-        return wanted | self.earlier_targets if self._keeps_earlier else wanted
+        return to_store | self.earlier_targets if self._keeps_earlier_targets else to_store
 
     async def _write(self) -> bool:
-        """Write the targets that may get runs; return whether the row names just them."""
-        wanted = self._list_wanted()
+        """Write the row; return whether the store has confirmed it."""
+        to_store = self._list_targets_to_store()
         for target_id, record in self._state.targets.items():
-            # Nothing may start on a target while a row without it is under way.
-            record.in_registry = record.in_registry and target_id in wanted
+            # Nothing may start on a target while a row without it is being written.
+            record.in_registry = record.in_registry and target_id in to_store
         self._written_s = self._clock.read_monotonic_s()
-        change = RowChange(TABLE_TERM, REGISTRY_KEY, encode_registry(wanted), self._version)
+        change = RowChange(TABLE_TERM, REGISTRY_KEY, encode_registry(to_store), self._version)
         try:
             self._version = await self._rows.commit(HOLDER_PART, [change], self._permit)
         except RowsChangedError as error:
@@ -103,21 +110,27 @@
                 self._version = row.version
             return False
         except StoreUnavailableError as error:
-            log.info('%d targets are not stored: %s', len(wanted), error)
+            log.info(
+                'target registry with %d targets not stored, trying again: %s', len(to_store), error
+            )
             return False
-        self._stored = wanted
-        for target_id in wanted & self._state.targets.keys():
+        self._stored_targets = to_store
+        for target_id in to_store & self._state.targets.keys():
             self._state.targets[target_id].in_registry = True
         return True
 
-    def _take_earlier(self, row: StoredRow) -> None:
+    def _apply_earlier_row(self, row: StoredRow) -> None:
         self._version = row.version
         try:
             self.earlier_targets = decode_registry(row.payload)
         except RowFormatError as error:
             self.earlier_targets_known = False
-            log.warning('starts of older jobs wait until all earlier runs have lapsed: %s', error)
+            log.warning(
+                'target registry of the earlier holder is unreadable; '
+                'its jobs wait until all its runs have lapsed: %s',
+                error,
+            )
 
 
-def _may_run(record: TargetRecord) -> bool:
+def _may_have_runs(record: TargetRecord) -> bool:
     return record.reported and bool(record.runs or not (record.leaving or record.silent))
