--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -1,4 +1,4 @@
-"""Removes jobs from the store and from the board some time after they have ended."""
+"""Removes jobs from the store and from the scheduler state some time after they have ended."""
 
 import logging
 from collections.abc import Awaitable, Callable, Iterable, Iterator, Sequence
@@ -25,13 +25,13 @@
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.removal import Removal
 
-# Small beside the retention, so that the jobs of a look fit in a few transactions of each part.
+# Short beside the retention, so that the jobs of one sweep fit in a few transactions per partition.
 SWEEP_INTERVAL_S = 5.0
-# A caller may ask for the state until the end of the period, and its call may be slow.
+# A caller may ask for the state until the end of the retention, and its request may be slow.
 RETENTION_MARGIN_S = 30.0
-# A transaction holds at most 100 entries, and a job needs up to three.
+# A transaction has at most 100 entries, and a job needs up to three.
 JOBS_PER_COMMIT = 30
-# Leaves a part to callers between two of its transactions.
+# Pause between two transactions, in which callers can write to the same partition.
 COMMIT_PAUSE_S = 0.05
 
 log = logging.getLogger('comfreywind.retention')
@@ -40,9 +40,10 @@
 class JobRetention:
     """Removes a job `retention_s` after this holder first saw it ended.
 
-    The rows of a job are in two parts, and a transaction changes one. So the accepted row is
-    replaced by a tombstone with the final state, then progress and mark are removed, then the
-    tombstone. Who reads in between learns the state from it, and a later holder goes on there.
+    The rows of a job are in two partitions, and a transaction changes one. So the accepted row is
+    replaced by a tombstone with the final state, then progress and cancel marker are removed, then
+    the tombstone. Readers in between get the state from the tombstone, and a later holder continues
+    the removal from there.
     """
 
     def __init__(
@@ -64,56 +65,63 @@
         self._removals: dict[str, Removal] = {}
 
     def record_accepted(self, job_id: str, version: int) -> None:
-        """Note the version of an accepted job; another one means that the id is used anew."""
+        """Record the version of an accepted row; a higher one means that the id was reused."""
         if version > self._versions.get(job_id, version):
-            self._drop(job_id)
+            self._drop_job(job_id)
         self._removals.pop(job_id, None)
         self._versions[job_id] = version
 
     def record_tombstone(self, job_id: str, version: int, progress_version: int) -> None:
-        """Note that a tombstone stands for the job; its progress was last seen at the version."""
+        """Record that a tombstone has replaced the job, whose progress row has the given version."""
         record = self._state.jobs.get(job_id)
         if record is not None:
             progress_version = record.progress_version
-            self._drop(job_id)
+            self._drop_job(job_id)
         self._removals.setdefault(job_id, Removal(job_id, version, progress_version))
 
     def record_removed(self, job_id: str) -> None:
-        """Note that the store no longer has the job."""
+        """Record that the store has no row of the job any more."""
         self._removals.pop(job_id, None)
-        self._drop(job_id)
+        self._drop_job(job_id)
 
     async def run(self) -> None:
-        """Remove what is due, for ever."""
+        """Sweep at intervals until cancelled."""
         while True:
             await trio.sleep(SWEEP_INTERVAL_S)
             try:
                 await self.sweep()
             except StoreUnavailableError as error:
-                log.info('ended jobs are removed later: %s', error)
+                log.info('ended jobs not removed, trying again at the next sweep: %s', error)
 
     async def sweep(self) -> None:
-        """Remove the jobs that are due; raise StoreUnavailableError when the store gives no answer."""
-        await self._commit_all(self._list_due(), find_intake_part, self._replace)
-        uncleared = [each for each in self._removals.values() if not each.cleared]
-        await self._commit_all([each.job_id for each in uncleared], find_progress_part, self._clear)
+        """Remove the jobs that are due.
+
+        Raises StoreUnavailableError when the store gives no answer.
+        """
+        await self._commit_in_batches(self._list_due(), find_intake_part, self._write_tombstones)
+        to_clear = [each for each in self._removals.values() if not each.cleared]
+        await self._commit_in_batches(
+            [each.job_id for each in to_clear], find_progress_part, self._clear_progress
+        )
         cleared = [each for each in self._removals.values() if each.cleared]
-        await self._commit_all([each.job_id for each in cleared], find_intake_part, self._remove)
+        await self._commit_in_batches(
+            [each.job_id for each in cleared], find_intake_part, self._remove_tombstones
+        )
         if cleared:
             log.info('%d ended jobs removed', len(cleared))
 
-    async def _commit_all(
+    async def _commit_in_batches(
         self,
         job_ids: Iterable[str],
-        find_part: Callable[[str], str],
+        get_partition: Callable[[str], str],
         commit: Callable[[str, Sequence[str]], Awaitable[None]],
     ) -> None:
-        by_part: dict[str, list[str]] = {}
+        by_partition: dict[str, list[str]] = {}
         for job_id in job_ids:
-            by_part.setdefault(find_part(job_id), []).append(job_id)
-        for part, ids in by_part.items():
+            by_partition.setdefault(get_partition(job_id), []).append(job_id)
+        for partition, ids in by_partition.items():
             for start in range(0, len(ids), JOBS_PER_COMMIT):
-                await commit(part, ids[start : start + JOBS_PER_COMMIT])
+                await commit(partition, ids[start : start + JOBS_PER_COMMIT])
                 await trio.sleep(COMMIT_PAUSE_S)
 
     def _list_due(self) -> list[str]:
@@ -131,8 +139,8 @@
         ended_s = self._ended_s.setdefault(job_id, now_s)
         return job_id in self._versions and now_s - ended_s >= self._retention_s
 
-    async def _replace(self, part: str, job_ids: Sequence[str]) -> None:
-        """Put tombstones in the place of the accepted ones."""
+    async def _write_tombstones(self, partition: str, job_ids: Sequence[str]) -> None:
+        """Replace the accepted rows of jobs by tombstones."""
         changes: list[RowChange] = []
         jobs = self._state.jobs
         records = [jobs[each] for each in job_ids if each in jobs and each in self._versions]
@@ -142,44 +150,44 @@
             version = self._versions[job_id]
             changes.append(RowChange(TABLE_INTAKE, job_id, encode_tombstone(ended), version))
         try:
-            version = await self._commit(part, changes)
+            version = await self._commit(partition, changes)
         except RowsChangedError as error:
             for row in error.rows:
-                self._note_replaced(row)
+                self._apply_conflicting_row(row)
             return
         for record in records:
             self.record_tombstone(record.job.job_id, version, record.progress_version)
 
-    def _note_replaced(self, row: StoredRow) -> None:
-        """Take in a row that this holder has changed without having got an answer."""
+    def _apply_conflicting_row(self, row: StoredRow) -> None:
+        """Apply a row with another version than expected: an earlier write had no answer."""
         if row.payload is None:
             self.record_removed(row.key)
         elif _is_tombstone(row.payload):
             self.record_tombstone(row.key, row.version, 0)
 
-    async def _clear(self, part: str, job_ids: Sequence[str]) -> None:
-        """Remove progress and marks of jobs for which a tombstone stands."""
+    async def _clear_progress(self, partition: str, job_ids: Sequence[str]) -> None:
+        """Remove the progress rows and cancel markers of jobs that have a tombstone."""
         changes: list[RowChange] = []
-        removals = list(self._find_removals(job_ids))
+        removals = list(self._get_removals(job_ids))
         for removal in removals:
-            mark = f'{removal.job_id}{CANCEL_SUFFIX}'
+            cancel_marker = f'{removal.job_id}{CANCEL_SUFFIX}'
             changes += [
                 RowChange(TABLE_PROGRESS, removal.job_id, None, removal.progress_version),
-                RowChange(TABLE_INTAKE, mark, None),
+                RowChange(TABLE_INTAKE, cancel_marker, None),
             ]
         try:
-            await self._commit(part, changes)
+            await self._commit(partition, changes)
         except RowsChangedError as error:
             for row in error.rows:
-                await self._note_progress(row)
+                await self._refresh_progress_version(row)
             return
         for removal in removals:
             removal.cleared = True
 
-    async def _note_progress(self, row: StoredRow) -> None:
-        """Take in the version of a progress row, if it is certain that it is of the ended job.
+    async def _refresh_progress_version(self, row: StoredRow) -> None:
+        """Record the version of a progress row if it certainly belongs to the ended job.
 
-        A row read while the tombstone stands is: the id can't be used anew before that is gone.
+        It does while the tombstone exists, because the id can't be reused before that is removed.
         """
         removal = self._removals.get(row.key)
         if removal is None or removal.progress_version == row.version:
@@ -190,29 +198,29 @@
         else:
             self._removals.pop(row.key, None)
 
-    async def _remove(self, part: str, job_ids: Sequence[str]) -> None:
-        """Remove tombstones whose progress is gone."""
-        removals = list(self._find_removals(job_ids))
+    async def _remove_tombstones(self, partition: str, job_ids: Sequence[str]) -> None:
+        """Remove the tombstones of jobs whose progress was removed."""
+        removals = list(self._get_removals(job_ids))
         changes = [
             RowChange(TABLE_INTAKE, removal.job_id, None, removal.version) for removal in removals
         ]
         try:
-            await self._commit(part, changes)
+            await self._commit(partition, changes)
         except RowsChangedError as error:
-            # Removed before, without an answer; the id may be in use anew.
+            # An earlier removal took effect without an answer, and the id may have been reused.
             changed = {row.key: row.version for row in error.rows}
             removals = [each for each in removals if changed.get(each.job_id) != each.version]
         for removal in removals:
             self._removals.pop(removal.job_id, None)
 
-    async def _commit(self, part: str, changes: Sequence[RowChange]) -> int:
-        """Commit what the jobs still need; they may have been dropped while others were committed."""
-        return await self._rows.commit(part, changes, self._permit) if changes else 0
+    async def _commit(self, partition: str, changes: Sequence[RowChange]) -> int:
+        """Commit changes, if any: all jobs of a batch may have been dropped in the meantime."""
+        return await self._rows.commit(partition, changes, self._permit) if changes else 0
 
-    def _find_removals(self, job_ids: Sequence[str]) -> Iterator[Removal]:
+    def _get_removals(self, job_ids: Sequence[str]) -> Iterator[Removal]:
         return (self._removals[job_id] for job_id in job_ids if job_id in self._removals)
 
-    def _drop(self, job_id: str) -> None:
+    def _drop_job(self, job_id: str) -> None:
         record = self._state.jobs.get(job_id)
         if record is not None and not record.open:
             self._state.drop_job(job_id)
@@ -224,5 +232,5 @@
     try:
         return isinstance(decode_accepted(payload), EndedJob)
     except RowFormatError as error:
-        log.warning('a row that is being removed is left: %s', error)
+        log.warning('accepted row of an ended job is unreadable, leaving it in place: %s', error)
         return False
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -27,11 +27,11 @@
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.term_row import TermRow, decode_term, encode_term
 
-# Nodes that see a released term at the same moment don't all try at once.
+# Spreads the attempts of nodes that see a released term at the same moment.
 TAKE_JITTER_S = 0.08
-SHORTEST_PAUSE_S = 0.05
-NEVER_SEEN = -1
-# One renewal at most is under way when a term is released.
+MIN_PAUSE_S = 0.05
+VERSION_UNKNOWN = -1
+# At most one renewal is in flight when a term is released, so a second attempt succeeds.
 RELEASE_ATTEMPTS = 2
 MS_PER_S = 1000
 
@@ -40,7 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldTerm:
-    """A term of this node; jobs with a row version above `taken_version` were never started."""
+    """A term that this node holds, taken at `taken_s` on its steady clock.
+
+    Jobs with a row version above `taken_version` were never started by an earlier holder.
+    """
 
     epoch: int
     taken_version: int
@@ -48,16 +51,19 @@
 
 
 class TermKeeper:
-    """Owns the lease row of the term as this node knows it."""
+    """Polls the lease row of the term, takes the term when it is free, and renews it.
+
+    `published_pending` and `published_refused` are written into the row with each renewal.
+    """
 
     def __init__(self, rows: RowsClient, node: str, clock: Clock, cores: float = 1) -> None:
-        """Use the store's client; `node` is the name of this node, `cores` the size of its VM."""
+        """Use the store's client; `node` is this node's name, `cores` the number of its VM's cores."""
         self._rows = rows
         self._node = node
         self._clock = clock
         self._random = random.Random(node)
         self._take_delay_s = find_take_delay_s(cores)
-        self._version = NEVER_SEEN
+        self._version = VERSION_UNKNOWN
         self._started_s = clock.read_monotonic_s()
         self._version_since_s = self._started_s
         self._next_term_s = USUAL_TERM_S
@@ -68,101 +74,102 @@
         self._change = trio.Event()
         self._stopping = False
         self.published_pending: dict[str, int] = {}
-        self.own_refused: dict[str, float] = {}
+        self.published_refused: dict[str, float] = {}
 
     @property
     def held(self) -> HeldTerm | None:
-        """Return the term that this node holds, which may have lapsed for the moment."""
+        """Return the term that this node holds, or None; `is_valid` tells whether it has lapsed."""
         return self._held
 
     @property
     def seen_row(self) -> TermRow:
-        """Return the row as last read or written."""
+        """Return the lease row as last read or written."""
         return self._seen_row
 
     def is_valid(self) -> bool:
-        """Return whether this node may give orders now."""
+        """Return whether this node holds the term at this moment and may send orders."""
         now_s = self._clock.read_monotonic_s()
         if self._held is None:
             return False
         return is_term_valid(self._renewal_sent_s, self._held_term_s, now_s)
 
     async def wait_for_change(self) -> None:
-        """Return when the node has gained or lost the term."""
+        """Return once this node has taken or lost the term."""
         await self._change.wait()
 
     async def run(self) -> None:
-        """Read, take or renew the row for ever."""
+        """Poll, take or renew the term until it is released."""
         while not self._stopping:
-            next_s = trio.current_time() + self._find_pause_s()
+            next_s = trio.current_time() + self._choose_pause_s()
             try:
-                await self._take_step()
+                await self._poll_or_renew()
             except StoreUnavailableError as error:
-                log.info('term row: %s', error)
-            # A slow store takes up the pause, and a call that failed at once must not repeat at once.
-            await trio.sleep(max(next_s - trio.current_time(), SHORTEST_PAUSE_S))
+                log.info('lease row of the term not read or written, trying again: %s', error)
+            # The time of a slow call counts towards the pause; a call that fails at once is still
+            # not repeated at once.
+            await trio.sleep(max(next_s - trio.current_time(), MIN_PAUSE_S))
 
     async def release(self) -> None:
-        """Give the term up, so that another node takes over at once."""
+        """Release the term, so that another node can take it at once, and stop competing for it."""
         self._stopping = True
         held = self._held
         if held is None:
             return
-        self._lose('released')
+        self._drop_term('released')
         for _ in range(RELEASE_ATTEMPTS):
             if await self._write_release(held.epoch):
                 return
 
     def step_down(self, reason: str) -> None:
-        """Note that another holder has given orders with a higher fence."""
+        """Drop the term, because another holder has sent orders with a higher fence."""
         if self._held is not None:
-            self._lose(reason)
+            self._drop_term(reason)
 
     async def _write_release(self, epoch: int) -> bool:
-        """Write the released row; return False when a renewal was written just before."""
+        """Write the released row; return False when a renewal of this node was written first."""
         row = TermRow(
             self._node,
             epoch,
             self._seen_row.renewal + 1,
             released=True,
-            started_ms=self._find_start_ms(),
+            started_ms=self._compute_start_ms(),
         )
         change = RowChange(TABLE_TERM, TERM_KEY, encode_term(row), self._version)
         try:
             await self._rows.commit(TERM_PART, [change])
         except RowsChangedError as error:
             for stored in error.rows:
-                self._observe(stored)
-            log.info('term %d: the row changed before it was released', epoch)
+                self._apply_row(stored)
+            log.info('term %d: release conflicted with another write of the lease row', epoch)
             return self._seen_row.holder != self._node or self._seen_row.epoch != epoch
         except StoreUnavailableError as error:
-            log.info('term %d: not released: %s', epoch, error)
+            log.info('term %d: release not confirmed, the term may have to lapse: %s', epoch, error)
         return True
 
-    async def _take_step(self) -> None:
+    async def _poll_or_renew(self) -> None:
         if self._held is None:
-            self._observe(await self._rows.read_row(TABLE_TERM, TERM_PART, TERM_KEY))
-        step = decide_term_step(self._describe(), self._held is not None)
+            self._apply_row(await self._rows.read_row(TABLE_TERM, TERM_PART, TERM_KEY))
+        step = decide_term_step(self._make_sighting(), self._held is not None)
         if step is TermStep.WAIT or self._stopping:
             return
         if step is TermStep.TAKE:
-            await trio.sleep(self._find_delay_s())
+            await trio.sleep(self._compute_take_delay_s())
         await self._write(step)
 
-    def _find_delay_s(self) -> float:
+    def _compute_take_delay_s(self) -> float:
         delay_s = self._take_delay_s + self._random.uniform(0, TAKE_JITTER_S)
         row = self._seen_row
         if row.released and row.started_ms:
-            later_s = (self._find_start_ms() - row.started_ms) / MS_PER_S
+            later_s = (self._compute_start_ms() - row.started_ms) / MS_PER_S
             delay_s += find_release_delay_s(later_s)
         return delay_s
 
-    def _find_start_ms(self) -> float:
-        """Return when this process started on the store's clock, or 0 when that is not known."""
+    def _compute_start_ms(self) -> float:
+        """Return when this process started, on the store's clock, or 0 when that is unknown."""
         store_time = self._rows.store_time
         return 0 if store_time is None else store_time.find_latest_ms(self._started_s)
 
-    def _describe(self) -> LeaseSighting:
+    def _make_sighting(self) -> LeaseSighting:
         now_s = self._clock.read_monotonic_s()
         row = self._seen_row
         store_time = self._rows.store_time
@@ -187,45 +194,46 @@
             term_s=self._next_term_s,
             renewed_ms=0 if store_time is None else store_time.find_latest_ms(sent_s),
             pending=self.published_pending,
-            refused=self.own_refused,
-            started_ms=self._find_start_ms(),
+            refused=self.published_refused,
+            started_ms=self._compute_start_ms(),
         )
         if step is TermStep.RENEW:
-            self._bound_term(sent_s, row.term_s)
+            self._limit_held_term(sent_s, row.term_s)
         change = RowChange(TABLE_TERM, TERM_KEY, encode_term(row), self._version)
         try:
             version = await self._rows.commit(TERM_PART, [change])
         except RowsChangedError as error:
-            self._settle_conflict(error.rows)
+            self._resolve_conflict(error.rows)
             return
         finally:
             self._next_term_s = choose_term_s(self._clock.read_monotonic_s() - sent_s)
-        self._accept(row, version, sent_s, step)
+        self._apply_commit(row, version, sent_s, step)
 
-    def _bound_term(self, sent_s: float, term_s: float) -> None:
-        """End the present term no later than the one that is about to be written.
+    def _limit_held_term(self, sent_s: float, term_s: float) -> None:
+        """End the held term no later than the one that is about to be written.
 
-        The answer may be lost, and candidates go by the row: a shorter term may lapse there first.
+        The answer may be lost, and candidates go by the row. If its term is shorter than the held
+        one, a candidate may take over while this node still counts on the longer one.
         """
         if self._renewal_sent_s is not None:
             end_s = min(self._renewal_sent_s + self._held_term_s, sent_s + term_s)
             self._held_term_s = end_s - self._renewal_sent_s
 
-    def _settle_conflict(self, rows: tuple[StoredRow, ...]) -> None:
-        """Find out who has the term when the row has another version than expected.
+    def _resolve_conflict(self, rows: tuple[StoredRow, ...]) -> None:
+        """Drop the term if the lease row, which has an unexpected version, names another holder.
 
-        An earlier renewal without a reply may have taken effect. The term then still counts from
-        the last renewal that had one.
+        If it still names this node, an earlier renewal took effect without a reply. The term then
+        still counts from the last renewal that had a reply.
         """
         for stored in rows:
-            self._observe(stored)
+            self._apply_row(stored)
         seen = self._seen_row
         if self._held is None:
             return
         if seen.holder != self._node or seen.released or seen.epoch != self._held.epoch:
-            self._lose(f'the row names {seen.holder} in term {seen.epoch}')
+            self._drop_term(f'the row names {seen.holder} in term {seen.epoch}')
 
-    def _accept(self, row: TermRow, version: int, sent_s: float, step: TermStep) -> None:
+    def _apply_commit(self, row: TermRow, version: int, sent_s: float, step: TermStep) -> None:
         now_s = self._clock.read_monotonic_s()
         self._seen_row = row
         self._version = version
@@ -234,26 +242,26 @@
             self._renewal_sent_s = sent_s
             self._held_term_s = row.term_s
             self._held = HeldTerm(row.epoch, version, now_s)
-            log.info('term %d: taken at version %d', row.epoch, version)
-            self._announce()
+            log.info('term %d: taken by this node at row version %d', row.epoch, version)
+            self._notify_change()
         elif self._held is None:
-            # A term that was lost is not held a second time: its run ids would be given out again.
-            log.info('term %d: renewed after it was lost; it lapses', row.epoch)
+            # A lost term is not held again, because its run ids would be used a second time.
+            log.info('term %d: renewal written after the term was lost; it will lapse', row.epoch)
         else:
             self._renewal_sent_s = sent_s
             self._held_term_s = row.term_s
 
-    def _observe(self, stored: StoredRow) -> None:
+    def _apply_row(self, stored: StoredRow) -> None:
         if stored.version != self._version:
             self._version = stored.version
             self._version_since_s = self._clock.read_monotonic_s()
         self._seen_row = self._read_term(stored)
 
     def _read_term(self, stored: StoredRow) -> TermRow:
-        """Return the row; one that can't be read counts as a term of unknown holder and full length.
+        """Return the row; an unreadable one counts as a term of full length of an unknown holder.
 
-        Targets refuse a fence that is too low, so a node that had not seen the epoch finds it by
-        taking the term again.
+        A node that has never seen the epoch may take the term with one that is too low. Targets
+        refuse its fence, and it reaches the right epoch by taking the term again.
         """
         if not stored.payload:
             return TermRow('', 0)
@@ -261,21 +269,23 @@
             return decode_term(stored.payload)
         except RowFormatError as error:
             log.warning(
-                'term row at version %d is overwritten once it lapses: %s', stored.version, error
+                'lease row at version %d is unreadable and will be overwritten once it lapses: %s',
+                stored.version,
+                error,
             )
             return TermRow('', self._seen_row.epoch, term_s=SLOW_STORE_TERM_S)
 
-    def _lose(self, reason: str) -> None:
-        log.info('term %d: lost: %s', self._seen_row.epoch, reason)
+    def _drop_term(self, reason: str) -> None:
+        log.info('term %d: no longer held by this node: %s', self._seen_row.epoch, reason)
         self._held = None
         self._renewal_sent_s = None
-        self._announce()
+        self._notify_change()
 
-    def _announce(self) -> None:
+    def _notify_change(self) -> None:
         self._change.set()
         self._change = trio.Event()
 
-    def _find_pause_s(self) -> float:
+    def _choose_pause_s(self) -> float:
         if self._held is not None:
             return RENEW_INTERVAL_S
         return POLL_INTERVAL_S * self._random.uniform(0.8, 1.2)
--- a/comfreywind/scheduling/term_row.py
+++ b/comfreywind/scheduling/term_row.py
@@ -1,4 +1,4 @@
-"""The row by which a holder has its term, with the figures that all nodes read from it."""
+"""The lease row of the term, with the figures that all nodes read from it, and the registry row."""
 
 from dataclasses import astuple, dataclass, field
 
@@ -9,11 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TermRow:
-    """Holder, epoch and renewal count; `pending` counts the jobs of each queue not begun.
+    """The holder of the term, its epoch and the number of renewals.
 
-    The term lasts `term_s` from the renewal, which was not after `renewed_ms` on the store's clock
-    (0 when the holder did not know that clock). The holder's process started at `started_ms` there.
-    `refused` holds the queues that take no jobs now, with the seconds until a retry can help.
+    The term lasts `term_s` from the last renewal, which was not later than `renewed_ms` on the
+    store's clock (0 when the holder did not know that clock). The holder's process started at
+    `started_ms` on the store's clock. `pending` counts the jobs by queue of which no task has
+    started. `refused` maps queues that accept no jobs now to the seconds until a retry can help.
     """
 
     holder: str
@@ -28,32 +29,32 @@
 
 
 def encode_term(row: TermRow) -> bytes:
-    """Return the value of the row."""
+    """Return the payload of the lease row."""
     packed: bytes = msgpack.packb(astuple(row))
     return packed
 
 
 def decode_term(payload: bytes) -> TermRow:
-    """Return the row; raise RowFormatError when it can't be read."""
+    """Return the lease row; raise RowFormatError when the payload can't be read."""
     with reading_row('row of the term'):
         row = TermRow(*msgpack.unpackb(payload))
     if not isinstance(row.epoch, int) or not isinstance(row.renewal, int):
-        raise RowFormatError('row of the term: epoch and renewal are whole numbers')
+        raise RowFormatError('row of the term: epoch and renewal must be integers')
     return row
 
 
 def encode_registry(target_ids: frozenset[str]) -> bytes:
-    """Return the row that names the targets which may have runs."""
+    """Return the payload of the registry row, which names the targets that may have runs."""
     packed: bytes = msgpack.packb(sorted(target_ids))
     return packed
 
 
 def decode_registry(payload: bytes | None) -> frozenset[str]:
-    """Return the targets that may have runs; raise RowFormatError when the row can't be read."""
+    """Return the targets that may have runs; raise RowFormatError when the payload can't be read."""
     if not payload:
         return frozenset()
     with reading_row('row of the roster'):
         target_ids = frozenset(msgpack.unpackb(payload))
     if not all(isinstance(target_id, str) for target_id in target_ids):
-        raise RowFormatError('row of the roster: ids of targets are texts')
+        raise RowFormatError('row of the roster: target ids must be strings')
     return target_ids
