--- a/tests/helpers/scheduler_harness.py
+++ b/tests/helpers/scheduler_harness.py
@@ -1,4 +1,4 @@
-"""A board with targets and jobs in memory, for tests of scheduling without sockets."""
+"""A scheduler state with targets and jobs in memory, for tests of scheduling without sockets."""
 
 from dataclasses import replace
 
@@ -26,16 +26,16 @@
 
 
 def make_job(*steps: Step, job_id: str = JOB_ID, accepted_ms: int = 0, **fields: object) -> Job:
-    """Return a job of the queue with the steps."""
+    """Return a job of `QUEUE` with the given steps, or with `STEP` alone."""
     job = Job(job_id, TEAM, QUEUE, 'spec', steps or (STEP,), accepted_ms)
     return replace(job, **fields)  # type: ignore[arg-type]
 
 
 class SchedulerHarness:
-    """A board of one pool; time stands still unless a test moves `now_s`."""
+    """A scheduler state of one pool; reports advance `now_s` by 0.1 s, tests may change it."""
 
     def __init__(self, targets: int = 2, cpu: int = 4000, epoch: int = 1) -> None:
-        """Register the targets t0, t1, ... which have reported nothing running."""
+        """Register the targets t0, t1, ..., which have reported that nothing runs on them."""
         self.scheduler_state = SchedulerState(epoch)
         self.planner = Planner(self.scheduler_state)
         self.scheduler_state.rules = JobRules(
@@ -47,20 +47,20 @@
             self.add_target(f't{number}', cpu)
 
     def add_target(self, name: str, cpu: int = 4000, labels: frozenset[str] = frozenset()) -> None:
-        """Register a target and let it report that nothing runs."""
+        """Register a target and let it report that nothing runs on it."""
         address = Address('127.0.0.1', 1)
         entry = TargetEntry(name, POOL, address, 'dc', False, Resources(cpu, 10_000), labels, 1)
         self.scheduler_state.register_target(entry, self.now_s).in_registry = True
         self.report(name)
 
     def add_job(self, job: Job | None = None, reconciled: bool = True) -> Job:
-        """Hand in a job."""
+        """Add an accepted job without progress, and return it."""
         accepted = job or make_job()
         self.scheduler_state.add_job(accepted, Progress(), 1, reconciled)
         return accepted
 
     def plan(self) -> list[Order]:
-        """Return the orders of a plan."""
+        """Return the start orders of a new plan."""
         return self.planner.plan(self.now_s, self.now_s * 1000)
 
     def start(self) -> list[StartOrder]:
@@ -71,7 +71,7 @@
         return orders
 
     def answer(self, order: StartOrder, answer: StartAnswer) -> list[Order]:
-        """Let a target answer a start."""
+        """Apply a target's answer to a start order."""
         return self.scheduler_state.apply_start_answer(order, answer, self.now_s)
 
     def report(
@@ -83,7 +83,7 @@
         levels: dict[TaskKey, float] | None = None,
         percents: dict[TaskKey, int] | None = None,
     ) -> list[Order]:
-        """Let a target report runs; the report was asked for now."""
+        """Apply a target's report of active and ended runs, which was requested just now."""
         self.now_s += 0.1
         rows = []
         for key, run_id, outcome in ended:
@@ -99,7 +99,7 @@
         return self.scheduler_state.apply_report(record, report, self.now_s, self.now_s)
 
     def end(self, order: StartOrder, outcome: RunOutcome) -> list[Order]:
-        """Let the target of a start report its end and what else it runs."""
+        """Let the target of a start report the end of this run and its other runs as active."""
         others = tuple(
             (run.key, run.run_id)
             for run in self.scheduler_state.targets[order.target_id].runs.values()
@@ -109,5 +109,5 @@
 
 
 def list_stops(orders: list[Order]) -> list[tuple[TaskKey, int]]:
-    """Return the runs that orders stop."""
+    """Return the keys and ids of the runs that the orders stop."""
     return [(order.key, order.run_id) for order in orders if isinstance(order, StopOrder)]
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of scheduling as tables: terms, order of work, upkeep, sizes of pools, pace."""
+"""Tables of scheduling decisions: term, job order, maintenance, pool sizes and pace."""
 
 import pytest
 
@@ -41,34 +41,34 @@
 OVER_S = USUAL_TERM_S + TAKEOVER_MARGIN_S
 
 
-def sight(
+def make_sighting(
     exists: bool = True, released: bool = False, unchanged_s: float = 0, age_s: float | None = None
 ) -> LeaseSighting:
-    """Return a sighting of a row with a usual term."""
+    """Return a sighting of a lease row with a term of the usual length."""
     return LeaseSighting(exists, released, USUAL_TERM_S, unchanged_s, age_s)
 
 
 @pytest.mark.parametrize(
     ('sighting', 'leading', 'step'),
     [
-        (sight(), True, TermStep.RENEW),
-        (sight(exists=False), False, TermStep.TAKE),
-        (sight(released=True), False, TermStep.TAKE),
-        (sight(unchanged_s=OVER_S - 0.1), False, TermStep.WAIT),
-        (sight(unchanged_s=OVER_S), False, TermStep.TAKE),
-        (sight(age_s=OVER_S), False, TermStep.TAKE),
-        (sight(age_s=OVER_S - 0.1), False, TermStep.WAIT),
-        (sight(age_s=-5), False, TermStep.WAIT),
+        (make_sighting(), True, TermStep.RENEW),
+        (make_sighting(exists=False), False, TermStep.TAKE),
+        (make_sighting(released=True), False, TermStep.TAKE),
+        (make_sighting(unchanged_s=OVER_S - 0.1), False, TermStep.WAIT),
+        (make_sighting(unchanged_s=OVER_S), False, TermStep.TAKE),
+        (make_sighting(age_s=OVER_S), False, TermStep.TAKE),
+        (make_sighting(age_s=OVER_S - 0.1), False, TermStep.WAIT),
+        (make_sighting(age_s=-5), False, TermStep.WAIT),
     ],
 )
 def test_term_steps(sighting: LeaseSighting, leading: bool, step: TermStep) -> None:
-    """Guards against two holders, and against a term that nobody takes over."""
+    """A node takes a term only when it is free, and a free term is always taken."""
     assert decide_term_step(sighting, leading) is step
 
 
 @pytest.mark.parametrize('took_s', [0, 0.1, 0.3, 1])
 def test_holder_stops_before_takeover(took_s: float) -> None:
-    """Guards against a holder that gives orders when another may have taken over."""
+    """A holder stops sending orders before another node may have taken over."""
     term_s = choose_term_s(took_s)
     assert is_term_valid(0, term_s, term_s - 0.01)
     assert not is_term_valid(0, term_s, term_s)
@@ -76,17 +76,18 @@
 
 
 @pytest.mark.parametrize(('cores', 'delay_s'), [(0.5, 0.8), (1.07, 0.1), (2.15, 0), (0, 0.8)])
-def test_large_vms_go_first(cores: float, delay_s: float) -> None:
-    """Guards against a holder on a VM that is too small for the work of a large site.
+def test_large_vms_take_the_term_first(cores: float, delay_s: float) -> None:
+    """Nodes on small VMs wait longer before they take a term, because a large site overloads them.
 
-    Seen on dewpa-sched-grown quiet-1: half of the jobs waited 360 ms and one in twenty 9 s.
+    Seen on dewpa-sched-grown quiet-1, where a node on a small VM was the holder: half of the jobs
+    waited 360 ms and one in twenty 9 s.
     """
     assert find_take_delay_s(cores) == delay_s
 
 
-def stand(**fields: float) -> JobStanding:
+def make_urgency(**fields: float) -> JobStanding:
     """Return a job accepted at 0 with an objective of 2 s and 1 s of work left."""
-    usual: dict[str, float] = {
+    defaults: dict[str, float] = {
         'lasting': False,
         'excess': False,
         'priority': 0,
@@ -94,29 +95,29 @@
         'objective_ms': 2000,
         'remaining_ms': 1000,
     }
-    return JobStanding(**{**usual, **fields})  # type: ignore[arg-type]
+    return JobStanding(**{**defaults, **fields})  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     ('first', 'second', 'now_ms'),
     [
-        (stand(lasting=True), stand(), 0),
-        (stand(), stand(excess=True), 0),
-        (stand(priority=0), stand(priority=1), 0),
-        (stand(accepted_ms=-500), stand(), 0),
-        (stand(accepted_ms=2000), stand(), 2000),
-        (stand(remaining_ms=500), stand(), 3000),
-        (stand(), stand(accepted_ms=-6000), 3000),
+        (make_urgency(lasting=True), make_urgency(), 0),
+        (make_urgency(), make_urgency(excess=True), 0),
+        (make_urgency(priority=0), make_urgency(priority=1), 0),
+        (make_urgency(accepted_ms=-500), make_urgency(), 0),
+        (make_urgency(accepted_ms=2000), make_urgency(), 2000),
+        (make_urgency(remaining_ms=500), make_urgency(), 3000),
+        (make_urgency(), make_urgency(accepted_ms=-6000), 3000),
     ],
     ids=['lasting', 'share', 'priority', 'due', 'on time', 'soonest late', 'hopeless'],
 )
 def test_order_of_work(first: JobStanding, second: JobStanding, now_ms: float) -> None:
-    """Guards against room for jobs that can't be on time while others that can be wait."""
+    """Jobs that can still be on time come before jobs that can't."""
     assert find_turn(first, now_ms) < find_turn(second, now_ms)
 
 
 def test_chain() -> None:
-    """Guards against an objective from the sum of all steps instead of their longest chain."""
+    """The remaining work of a job is its longest chain of steps, not the sum of all steps."""
     request = Resources(1000)
     steps = (
         Step(1, request, 1000),
@@ -127,9 +128,9 @@
     assert find_chain_ms(steps, frozenset((0,))) == 900
 
 
-def due(name: str, **fields: object) -> WaveVm:
-    """Return a VM of a wave that is up and has no work."""
-    usual: dict[str, object] = {
+def make_wave_vm(name: str, **fields: object) -> WaveVm:
+    """Return a VM of a maintenance wave, which is up and has no work by default."""
+    defaults: dict[str, object] = {
         'pool': 'p',
         'up': True,
         'emptying': False,
@@ -137,40 +138,44 @@
         'work': 0,
         'blocked': False,
     }
-    return WaveVm(name=name, **{**usual, **fields})  # type: ignore[arg-type]
+    return WaveVm(name=name, **{**defaults, **fields})  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     ('vms', 'limit', 'chosen'),
     [
-        ([due('a', work=3), due('b', work=1)], 1, ['b']),
-        ([due('a'), due('b'), due('c')], 3, ['a', 'b']),
-        ([due('a', emptying=True), due('b', emptying=True), due('c')], 3, []),
-        ([due('a', up=False), due('b')], 2, ['b']),
-        ([due('a'), due('b', pool='q')], 2, ['a', 'b']),
-        ([due('a')], 0, []),
+        ([make_wave_vm('a', work=3), make_wave_vm('b', work=1)], 1, ['b']),
+        ([make_wave_vm('a'), make_wave_vm('b'), make_wave_vm('c')], 3, ['a', 'b']),
+        (
+            [make_wave_vm('a', emptying=True), make_wave_vm('b', emptying=True), make_wave_vm('c')],
+            3,
+            [],
+        ),
+        ([make_wave_vm('a', up=False), make_wave_vm('b')], 2, ['b']),
+        ([make_wave_vm('a'), make_wave_vm('b', pool='q')], 2, ['a', 'b']),
+        ([make_wave_vm('a')], 0, []),
     ],
     ids=['least work', 'share of a pool', 'share taken', 'down', 'two pools', 'limit'],
 )
 def test_emptying(vms: list[WaveVm], limit: int, chosen: list[str]) -> None:
-    """Guards against a wave that takes more of a pool than it can miss."""
+    """A wave empties no more VMs of a pool at once than the pool can miss."""
     assert [vm.name for vm in choose_emptying(vms, {'p': 8, 'q': 8}, limit)] == chosen
 
 
 @pytest.mark.parametrize(
     ('vm', 'left_s', 'allowed'),
     [
-        (due('a'), 20, False),
-        (due('a', emptying=True), 20, True),
-        (due('a', emptying=True, work=2), 20, False),
-        (due('a', emptying=True, work=2, emptying_for_s=3), 20, True),
-        (due('a', emptying=True, work=2), 5, True),
-        (due('a', emptying=True, blocked=True), 1, False),
-        (due('a', emptying=True, up=False), 20, False),
+        (make_wave_vm('a'), 20, False),
+        (make_wave_vm('a', emptying=True), 20, True),
+        (make_wave_vm('a', emptying=True, work=2), 20, False),
+        (make_wave_vm('a', emptying=True, work=2, emptying_for_s=3), 20, True),
+        (make_wave_vm('a', emptying=True, work=2), 5, True),
+        (make_wave_vm('a', emptying=True, blocked=True), 1, False),
+        (make_wave_vm('a', emptying=True, up=False), 20, False),
     ],
 )
-def test_going_down(vm: WaveVm, left_s: float, allowed: bool) -> None:
-    """Guards against upkeep that ends work early, breaks a budget or comes too late."""
+def test_may_go_down(vm: WaveVm, left_s: float, allowed: bool) -> None:
+    """A VM goes down when it is empty or its wave runs out of time, but never against a budget."""
     assert may_go_down(vm, left_s) is allowed
 
 
@@ -187,10 +192,10 @@
     ],
 )
 def test_budget_of_steps(step: StepHealth, blocked: bool) -> None:
-    """Guards against a VM that goes down with a task which its step can't miss.
+    """A VM must not go down with a task that its step can't miss.
 
-    The last case was seen on prevoz-plan-grown trouble-2: six tasks had no room yet, and an upkeep
-    ended one that had begun to work since its target was last heard.
+    The last case was seen on prevoz-plan-grown trouble-2: six tasks were not placed yet, and
+    maintenance ended one that had begun to work since the last report of its target.
     """
     assert is_blocked('t', [step]) is blocked
 
@@ -205,17 +210,21 @@
     ],
 )
 def test_rounds(step: StepHealth, rounds: int) -> None:
-    """Guards the length of the chain of upkeeps that one step asks for."""
+    """The number of maintenance rounds follows from the VMs of a step and its budget."""
     assert count_rounds({'a', 'b', 'c'}, [step]) == rounds
 
 
 def test_longest_chain_first() -> None:
-    """Guards against a wave that is late because a long chain of upkeeps began last.
+    """VMs with the most maintenance rounds go first, or they would delay the end of the wave.
 
-    Pattern: critical path first. Seen on prevoz-plan-large quiet-1: the last VMs of a wave were
-    those of one step, one every two seconds, after all others had been done.
+    Seen on prevoz-plan-large quiet-1: the last VMs of a wave were those of one step, one every two
+    seconds, after all others were done.
     """
-    vms = [due('a'), due('b', serves=True, rounds=2), due('c', serves=True, rounds=9)]
+    vms = [
+        make_wave_vm('a'),
+        make_wave_vm('b', serves=True, rounds=2),
+        make_wave_vm('c', serves=True, rounds=9),
+    ]
     assert [vm.name for vm in choose_emptying(vms, {'p': 20}, 2)] == ['c', 'b']
 
 
@@ -223,14 +232,19 @@
     ('started_later_s', 'waits'), [(20, False), (RESTART_GAP_S, False), (0.3, True), (-20, True)]
 )
 def test_release_delay(started_later_s: float, waits: bool) -> None:
-    """Guards against a rolling restart in which each holder is the next to be stopped."""
+    """A node that has not been restarted yet leaves a released term to one that has.
+
+    Otherwise each new holder of a rolling restart could be the next node to be stopped.
+    """
     assert (find_release_delay_s(started_later_s) > POLL_INTERVAL_S) is waits
 
 
-def load(pool: str, load_vms: float, usable: int, idle: str = '', **fields: object) -> PoolLoad:
-    """Return the load of a working pool."""
-    usual: dict[str, object] = {'standby': False, 'arriving': 0, 'surplus_for_s': 0}
-    values = {**usual, **fields}
+def make_load(
+    pool: str, load_vms: float, usable: int, idle: str = '', **fields: object
+) -> PoolLoad:
+    """Return the load of a pool, which is not a standby pool by default."""
+    defaults: dict[str, object] = {'standby': False, 'arriving': 0, 'surplus_for_s': 0}
+    values = {**defaults, **fields}
     return PoolLoad(
         pool=pool, load_vms=load_vms, usable=usable, idle_vms=tuple(idle.split()), **values
     )  # type: ignore[arg-type]
@@ -239,15 +253,15 @@
 @pytest.mark.parametrize(
     ('loads', 'moves'),
     [
-        ([load('a', 1, 3)], []),
-        ([load('a', 2.8, 4), load('s', 0, 0, 'x y', standby=True)], [VmMove('x', 'a')]),
-        ([load('a', 2.8, 4, arriving=1), load('s', 0, 0, 'x', standby=True)], []),
-        ([load('a', 2.8, 4), load('b', 0, 4, 'y z')], [VmMove('y', 'a')]),
-        ([load('b', 0, 4, 'y z'), load('s', 0, 0, standby=True)], []),
+        ([make_load('a', 1, 3)], []),
+        ([make_load('a', 2.8, 4), make_load('s', 0, 0, 'x y', standby=True)], [VmMove('x', 'a')]),
+        ([make_load('a', 2.8, 4, arriving=1), make_load('s', 0, 0, 'x', standby=True)], []),
+        ([make_load('a', 2.8, 4), make_load('b', 0, 4, 'y z')], [VmMove('y', 'a')]),
+        ([make_load('b', 0, 4, 'y z'), make_load('s', 0, 0, standby=True)], []),
         (
             [
-                load('b', 0, 4, 'y z', surplus_for_s=USUAL_POLICY.shrink_after_s),
-                load('s', 0, 0, standby=True),
+                make_load('b', 0, 4, 'y z', surplus_for_s=USUAL_POLICY.shrink_after_s),
+                make_load('s', 0, 0, standby=True),
             ],
             [VmMove('y', 's'), VmMove('z', 's')],
         ),
@@ -255,7 +269,7 @@
     ids=['enough', 'standby', 'on its way', 'from another pool', 'not yet', 'to standby'],
 )
 def test_moves(loads: list[PoolLoad], moves: list[VmMove]) -> None:
-    """Guards against pools that lack VMs in a burst, and against idle VMs that are paid for."""
+    """A pool gets VMs when a burst needs them, and returns idle ones that cost money."""
     assert choose_moves(loads) == moves
 
 
@@ -264,5 +278,5 @@
     [(100, 0.5, 100), (40, 0.5, 60), (40, 0.7, 40), (100, 0.9, 50), (100, 1.0, 0), (0, 0.3, 20)],
 )
 def test_pace(percent: int, ratio: float, expected: int) -> None:
-    """Guards against fillers that harm tasks beside them, or never work again."""
+    """Best-effort tasks slow down before they harm tasks beside them, and speed up again later."""
     assert choose_pace(percent, ratio) == expected
--- a/tests/scheduling/test_foreign_rows.py
+++ b/tests/scheduling/test_foreign_rows.py
@@ -1,4 +1,4 @@
-"""Rows of our own tables that another program or version wrote."""
+"""Unreadable rows in the tables of the scheduler, as another program or version may write them."""
 
 import pytest
 import trio
@@ -25,14 +25,14 @@
 
 
 async def run_other_job(fleet: JobFleet, node: int) -> None:
-    """Hand a job in and wait until it is complete."""
+    """Submit a job and wait until it is complete."""
     assert await fleet.submit(node, OTHER_JOB_ID) == 200
     await fleet.wait_for_state(node, OTHER_JOB_ID, 'complete')
 
 
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x91\x63'])
 async def test_unreadable_progress(garbage: bytes) -> None:
-    """Guards against one row that ends the holder, and with it the work of all queues."""
+    """One unreadable progress row must not stop the holder, and with it the work of all queues."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         fleet.scopes[0].cancel()
         store = fleet.store.store
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x91\x63'])
 async def test_overwritten_progress(garbage: bytes) -> None:
-    """Guards against a holder that ends when a row that it follows becomes unreadable."""
+    """A progress row that becomes unreadable while its job runs must not stop the holder."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         store = fleet.store.store
         await run_other_job(fleet, 0)
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize(('part', 'key'), [(TERM_PART, TERM_KEY), (HOLDER_PART, REGISTRY_KEY)])
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x91\x63', b'\x01'])
 async def test_unreadable_term_rows(part: str, key: str, garbage: bytes) -> None:
-    """Guards against a fleet in which no node can take the term any more."""
+    """A node must be able to take the term although the lease row or the registry is unreadable."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         fleet.scopes[0].cancel()
         store = fleet.store.store
@@ -71,7 +71,7 @@
 
 
 async def test_term_row_garbled_while_held() -> None:
-    """Guards against a holder that ends, or keeps a term that its row no longer shows."""
+    """A holder whose lease row becomes unreadable must not stop for good or keep the term."""
     async with run_job_fleet(node_count=2, target_count=1) as fleet:
         await run_other_job(fleet, 0)
         write_row(fleet.store.store, TABLE_TERM, TERM_PART, TERM_KEY, b'\xc1')
@@ -82,13 +82,13 @@
 
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x91\x63', b'\x01', b'\x92\xa1a\xa1b'])
 def test_term_row_format(garbage: bytes) -> None:
-    """Guards against an error of another type than the one that callers handle."""
+    """An unreadable lease row raises the type of error that callers handle."""
     with pytest.raises(RowFormatError):
         decode_term(garbage)
 
 
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x01', b'\x91\x91\x01'])
-def test_roster_format(garbage: bytes) -> None:
-    """Guards against an error of another type than the one that the holder handles."""
+def test_registry_row_format(garbage: bytes) -> None:
+    """An unreadable registry row raises the type of error that the holder handles."""
     with pytest.raises(RowFormatError):
         decode_registry(garbage)
--- a/tests/scheduling/test_holder.py
+++ b/tests/scheduling/test_holder.py
@@ -1,4 +1,4 @@
-"""A holder that takes over from another one, over the stand-ins."""
+"""A holder that takes over from another one, in a fleet of stand-ins."""
 
 import base64
 from typing import Any
@@ -33,7 +33,7 @@
 
 
 async def test_end_acknowledged_during_takeover() -> None:
-    """Guards against a task that runs again after its end was stored and acknowledged.
+    """A task must not run again after its end was stored and acknowledged during a takeover.
 
     Seen on prevoz-plan hunt-f022-11: the earlier holder stored and acknowledged an end after its
     successor had read the progress and before the successor's fence had reached the target.
@@ -64,7 +64,7 @@
 
 
 async def wait_for_fence(target: JobTargetApp, fence: int, act: Any) -> None:
-    """Act at the moment when a holder's fence reaches the target."""
+    """Call `act` at the moment when a holder's fence reaches the target."""
     target.note_fence = lambda raised: act() if raised == fence else None
     with trio.fail_after(5):
         while target.fence < fence:
@@ -72,10 +72,10 @@
 
 
 async def test_takeover_with_slow_store() -> None:
-    """Guards against leases of running tasks that lapse while a successor reads the store.
+    """The leases of running tasks must not lapse while a successor reads from a slow store.
 
-    Seen on dewpa-sched trouble-2: sixteen readings one after the other took 3.6 s of a store that
-    answers 100 times slower, and tasks lapsed. Now three answers in a row have to be waited for.
+    Seen on dewpa-sched trouble-2: sixteen reads in sequence took 3.6 s with a store that answers
+    100 times slower, and tasks lapsed. Now only three answers have to be awaited in sequence.
     """
     delay_s = 0.5
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -1,7 +1,8 @@
-"""Jobs that ended long ago are removed, and nothing of them is lost, run again or told wrongly.
+"""Jobs that ended long ago are removed; none is lost, run again or reported with a wrong state.
 
-Pattern: retention with a time to live, with a tombstone while the parts are cleared one by one. Without it the store,
-the holder's memory and the time to take over grow with every job that was ever handed in.
+The rows of a job are removed one partition after the other, and a tombstone stands for the job
+meanwhile. Without the removal, the store, the holder's memory and the time of a takeover grow with
+every job that was ever accepted.
 """
 
 import base64
@@ -38,10 +39,14 @@
 
 
 class MemoryRows:
-    """The store's client without a network; commits get no answer while `lost` counts down to 0."""
+    """The store's client without a network.
+
+    `lost` counts down with each commit, and the one that makes it 0 takes effect but gets
+    no answer.
+    """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with an empty store."""
         self.store = RowStore()
         self.lost = 0
 
@@ -79,15 +84,15 @@
         return StoredRow(*name, base64.b64decode(stored.value), stored.version)
 
     def count(self) -> int:
-        """Return how many rows there are."""
+        """Return the number of rows with a value."""
         return sum(stored.value is not None for stored in self.store.rows.values())
 
 
-class Rig:
-    """A holder's retention over a store with one job, which has ended unless the state says else."""
+class RetentionHarness:
+    """A holder's job retention with a store of one job, which is in the given state."""
 
     def __init__(self, state: JobState = JobState.COMPLETE) -> None:
-        """Store the job."""
+        """Start with an empty store and no holder."""
         self.clock = ManualClock()
         self.client = MemoryRows()
         self.rows: Any = self.client
@@ -95,7 +100,7 @@
         self.state = state
 
     async def take_over(self) -> None:
-        """Have a new holder read the job."""
+        """Let a new holder read the rows of the job."""
         self.scheduler_state = SchedulerState(1)
         self.retention = JobRetention(
             self.rows, self.scheduler_state, RETENTION_S, self.clock, lambda: self.permitted
@@ -113,7 +118,7 @@
         )
 
     async def store_job(self) -> None:
-        """Store the job, its progress and the mark of a cancelling."""
+        """Store the job, its progress and its cancel marker."""
         intake, other = find_intake_part(JOB_ID), find_progress_part(JOB_ID)
         await self.rows.commit(intake, [RowChange(TABLE_INTAKE, JOB_ID, encode_job(make_job()))])
         progress = encode_progress(Progress(self.state))
@@ -121,7 +126,7 @@
         await self.rows.commit(other, [RowChange(TABLE_PROGRESS, JOB_ID, progress), mark])
 
     async def sweep(self, after_s: float = 0) -> None:
-        """Sweep as the holder does."""
+        """Advance the clock, then sweep as the holder does."""
         self.clock.advance(after_s)
         try:
             await self.retention.sweep()
@@ -129,9 +134,9 @@
             return
 
 
-async def make_rig(state: JobState = JobState.COMPLETE) -> Rig:
-    """Return a rig whose holder has seen the job once."""
-    harness = Rig(state)
+async def make_harness(state: JobState = JobState.COMPLETE) -> RetentionHarness:
+    """Return a harness whose holder has seen the job in one sweep."""
+    harness = RetentionHarness(state)
     await harness.store_job()
     await harness.take_over()
     await harness.sweep()
@@ -139,8 +144,8 @@
 
 
 async def test_removed_in_time(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against jobs that are kept for ever, or for less than the users' `status_s`."""
-    harness = await make_rig()
+    """A job is removed after the retention time (`status_s` of the users), not earlier or never."""
+    harness = await make_harness()
     await harness.sweep(RETENTION_S - 1)
     assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (3, 1)
     await harness.sweep(1)
@@ -149,23 +154,23 @@
 
 @pytest.mark.parametrize('state', [JobState.QUEUED, JobState.RUNNING])
 async def test_open_jobs_stay(state: JobState, autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against the removal of a job that is not done, however old."""
-    harness = await make_rig(state)
+    """A job that has not ended is never removed, however old it is."""
+    harness = await make_harness(state)
     await harness.sweep(10 * RETENTION_S)
     assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (3, 1)
 
 
 async def test_former_holder(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a removal by a holder whose term has run out meanwhile."""
-    harness = await make_rig()
+    """A holder whose term has ended removes nothing."""
+    harness = await make_harness()
     harness.permitted = False
     await harness.sweep(2 * RETENTION_S)
     assert harness.client.count() == 3
 
 
 async def test_time_counts_from_the_takeover(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a holder that takes what it has just read for old."""
-    harness = await make_rig()
+    """The retention time starts anew at a takeover: the new holder does not know when jobs ended."""
+    harness = await make_harness()
     harness.clock.advance(RETENTION_S - 1)
     await harness.take_over()
     await harness.sweep()
@@ -174,8 +179,8 @@
 
 
 async def test_progress_written_by_a_caller(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a cancelled job that stays because its row has another version."""
-    harness = await make_rig(JobState.CANCELLED)
+    """A cancelled job is removed although a caller's write gave its row an unknown version."""
+    harness = await make_harness(JobState.CANCELLED)
     harness.scheduler_state.jobs[JOB_ID].progress_version = 0
     await harness.sweep(RETENTION_S)
     await harness.sweep()
@@ -187,8 +192,8 @@
 async def test_lost_answer(
     lost: int, taken_over: bool, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against a removal that stops half-way, or a job that runs again because of it."""
-    harness = await make_rig()
+    """A removal continues after a lost answer, and the job is not loaded again by a new holder."""
+    harness = await make_harness()
     harness.client.lost = lost
     await harness.sweep(RETENTION_S)
     assert await JobStore(harness.rows, 65_536, RETENTION_S, harness.clock).read_state(
@@ -203,11 +208,11 @@
 
 
 @pytest.mark.parametrize('told', [False, True])
-async def test_id_used_anew_after_a_lost_answer(
+async def test_id_reused_after_a_lost_answer(
     told: bool, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against a new job under an old id that is removed or never started."""
-    harness = await make_rig()
+    """A new job under the id of a removed one is neither removed nor left without a start."""
+    harness = await make_harness()
     harness.client.lost = 3
     await harness.sweep(RETENTION_S)
     store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
@@ -224,9 +229,9 @@
     assert (JOB_ID in harness.scheduler_state.open_jobs) is told
 
 
-async def test_id_used_anew_during_a_takeover(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a holder that clears the progress of a new job for the one it read of."""
-    harness = await make_rig()
+async def test_id_reused_during_a_takeover(autojump_clock: trio.testing.MockClock) -> None:
+    """A holder must not clear the progress of a new job that reuses the id of a removed one."""
+    harness = await make_harness()
     harness.client.lost = 1
     await harness.sweep(RETENTION_S)
     former = harness.retention
@@ -246,8 +251,8 @@
 async def test_nodes_forget_in_time(
     state: JobState, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against a node that tells of a removed job what it remembers of it."""
-    harness = await make_rig(state)
+    """A node must not report the remembered state of a job that has been removed."""
+    harness = await make_harness(state)
     store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.read_state(JOB_ID, TEAM, QUEUE) is state
     harness.scheduler_state.jobs[JOB_ID].progress.state = JobState.COMPLETE
@@ -260,7 +265,7 @@
 
 
 class RemovingRows(MemoryRows):
-    """A store that removes the job after it has read the accepted row and before its progress."""
+    """A store in which the job is removed between the reads of its accepted row and its progress."""
 
     async def read_row(self, table: str, part: str, key: str) -> StoredRow:
         """Return a row."""
@@ -273,8 +278,8 @@
 
 
 async def test_removed_between_two_readings(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a job that is told as queued because its progress is gone already."""
-    harness = Rig()
+    """A job that is removed between two reads must not be reported as queued."""
+    harness = RetentionHarness()
     harness.rows = harness.client = RemovingRows()
     await harness.store_job()
     store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
@@ -282,7 +287,7 @@
 
 
 async def test_fleet_forgets_and_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the whole path: rows gone, 410 told, the same id accepted and run once more."""
+    """In a fleet, the rows of a job are removed, it is answered 410, and its id can be used again."""
     monkeypatch.setattr(job_retention, 'SWEEP_INTERVAL_S', 0.1)
     monkeypatch.setattr(holder, 'RETENTION_MARGIN_S', 0.2)
     timings = JobTimings(status_retention_s=0.6)
--- a/tests/scheduling/test_scheduler_state.py
+++ b/tests/scheduling/test_scheduler_state.py
@@ -1,4 +1,4 @@
-"""Runs of tasks: each failure that the board guards against."""
+"""The scheduler state and the planner: starts, stops, retries and placement of runs."""
 
 from dataclasses import replace
 
@@ -29,7 +29,7 @@
 
 
 def test_task_waits_once() -> None:
-    """Guards against two runs of one task: an end seen before the first plan queued it twice.
+    """An end that was reported before the first plan queued the task twice and gave it two runs.
 
     Seen on prevoz-plan trouble-1 after a change of the holder: runs 1001 and 1002 started at the
     same moment.
@@ -41,7 +41,7 @@
 
 
 def test_steps_in_order() -> None:
-    """Guards against a step that starts before the steps that it waits for are done."""
+    """A step must not start before the steps that it depends on are done."""
     harness = SchedulerHarness()
     harness.add_job(make_job(STEP, Step(1, Resources(1000, 100), after=(0,))))
     first = harness.start()
@@ -51,7 +51,7 @@
 
 
 def test_complete_only_when_all_done() -> None:
-    """Guards against a job that is shown as complete while a task has not ended."""
+    """A job must not become complete while one of its tasks has not ended."""
     harness = SchedulerHarness()
     job = harness.add_job(make_job(Step(2, Resources(1000, 100))))
     first, second = harness.start()
@@ -62,7 +62,7 @@
 
 
 def test_attempt_limit() -> None:
-    """Guards against a start after the last allowed attempt has failed."""
+    """No run may start after the last allowed attempt has failed; the job fails."""
     harness = SchedulerHarness()
     job = harness.add_job()
     for _ in range(3):
@@ -84,7 +84,7 @@
     ],
 )
 def test_answers_to_starts(answer: StartAnswer, restarted: bool) -> None:
-    """Guards against a second run while the first may still come, and against a lost task."""
+    """A task runs again after a refused start, but not while its first run may exist or start."""
     harness = SchedulerHarness(targets=1)
     harness.add_job()
     (order,) = harness.plan()
@@ -103,10 +103,10 @@
     ],
 )
 def test_pending_until_begun(answer: StartAnswer, pending: int) -> None:
-    """Guards against jobs said to have begun when their starts were ordered and came to nothing.
+    """A job counts as pending until a target has confirmed a start; an order alone is not enough.
 
-    Seen on prevoz-plan-large quiet-1, seed 236301455: starts timed out, and 0 jobs were said to wait
-    while 13 had waited for five seconds.
+    Seen on prevoz-plan-large quiet-1, seed 236301455: starts timed out, and 0 jobs were counted as
+    pending while 13 had waited for five seconds.
     """
     harness = SchedulerHarness()
     harness.add_job()
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize('listed', ['active', 'ended'])
 def test_begun_by_report(listed: str) -> None:
-    """Guards against a job said to wait although its target shows what it has begun."""
+    """A job is not pending any more once a report lists a run or an end of one of its tasks."""
     harness = SchedulerHarness()
     harness.add_job(make_job(replace(STEP, task_count=2)))
     order = harness.plan()[0]
@@ -133,9 +133,9 @@
 
 
 def test_start_without_answer() -> None:
-    """Guards against two runs when an order without an answer is carried out late.
+    """A start without an answer may take effect late, beside a second run of the task.
 
-    The run is stopped first; only a list asked for after the confirmed stop frees the task.
+    So the run is stopped first, and only a report requested after the confirmed stop frees the task.
     """
     harness = SchedulerHarness(targets=1)
     harness.add_job()
@@ -153,7 +153,7 @@
 
 
 def test_stop_without_answer_is_repeated() -> None:
-    """Guards against a run of a cancelled job that goes on because its stop was lost."""
+    """A stop order without an answer is sent again, or the run of a cancelled job would continue."""
     harness = SchedulerHarness(targets=1)
     harness.add_job()
     harness.start()
@@ -165,7 +165,7 @@
 
 
 def test_adopted_run() -> None:
-    """Guards against a second run of a task that an earlier holder started."""
+    """A run that an earlier holder started is adopted, and its task gets no second run."""
     harness = SchedulerHarness(epoch=2)
     harness.add_job(reconciled=False)
     assert not harness.plan()
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize('case', ['cancelled', 'unknown', 'done', 'elsewhere'])
 def test_unwanted_run_is_stopped(case: str) -> None:
-    """Guards against runs of an earlier holder that nobody asked for any more."""
+    """Runs of an earlier holder are stopped when their job is closed, unknown or runs elsewhere."""
     harness = SchedulerHarness(epoch=2)
     if case != 'unknown':
         progress = Progress(done={(0, 0, 0)}) if case == 'done' else Progress()
@@ -189,8 +189,8 @@
     assert list_stops(harness.report('t0', active=((KEY, 1),))) == [(KEY, 1)]
 
 
-def test_new_life_requeues() -> None:
-    """Guards against tasks lost with a target that starts anew under its id."""
+def test_new_incarnation_requeues() -> None:
+    """The tasks of a target that restarts under the same id are lost and have to start again."""
     harness = SchedulerHarness(targets=1)
     harness.add_job()
     harness.start()
@@ -200,7 +200,7 @@
 
 
 def test_cancel_before_job() -> None:
-    """Guards against a job that starts because its cancelling was read before it."""
+    """A cancellation that is read before its job still cancels the job."""
     harness = SchedulerHarness()
     harness.scheduler_state.cancel_job(JOB_ID)
     harness.add_job()
@@ -208,7 +208,7 @@
 
 
 def test_ceiling() -> None:
-    """Guards against a team that runs more than its ceiling, stops under way included."""
+    """A team never uses more than its ceiling; runs count until they have stopped."""
     harness = SchedulerHarness()
     harness.scheduler_state.rules.teams[TEAM] = Team(TEAM, ceiling=Resources(cpu_millicores=2500))
     harness.add_job(make_job(Step(4, Resources(1000, 100))))
@@ -218,7 +218,7 @@
 
 
 def test_failing_target_is_barred() -> None:
-    """Guards against a target that fails everything and uses up the attempts of many jobs."""
+    """A target that fails every task would use up the attempts of many jobs, so it is excluded."""
     harness = SchedulerHarness(targets=1)
     harness.add_job(make_job(Step(6, Resources(1000, 100))))
     for order in harness.start()[:2]:
@@ -227,7 +227,10 @@
 
 
 def test_late_job_yields() -> None:
-    """Guards against a burst in which all jobs become late because those that are late come first."""
+    """A job that is late already yields to one that can be on time.
+
+    In a burst, all jobs would become late if the late ones came first.
+    """
     harness = SchedulerHarness(targets=1, cpu=1000)
     late = make_job(job_id='00000000000000b1', accepted_ms=0)
     fresh = make_job(job_id='00000000000000b2', accepted_ms=100_000)
@@ -236,18 +239,18 @@
     assert [order.key.job_id for order in harness.start()] == [fresh.job_id]
 
 
-def test_crowded_step_is_spread() -> None:
-    """Guards against a VM that can't go down because it has two tasks of a step that may miss one."""
+def test_step_with_budget_is_spread() -> None:
+    """Tasks of a step that may miss only one are spread, so that each VM can go down."""
     harness = SchedulerHarness(targets=3)
     harness.add_job(make_job(Step(3, Resources(1000, 100), lasting=True, unavailable_limit=1)))
     assert len({order.target_id for order in harness.start()}) == 3
 
 
 def test_order_under_way_counts_as_away() -> None:
-    """Guards against two VMs ordered down at once that both have a task of a step that bears one.
+    """Two VMs must not be ordered down at once when both have a task of a step that may miss one.
 
-    Suspected on prevoz-plan scale-2, seed 446700882985: a report that came while an upkeep was
-    being ordered showed the task at work again.
+    Suspected on prevoz-plan scale-2, seed 446700882985: a report that arrived while maintenance was
+    being ordered marked the task as at work again.
     """
     harness = SchedulerHarness(targets=2)
     harness.add_job(make_job(Step(2, Resources(1000, 100), lasting=True, unavailable_limit=1)))
@@ -269,7 +272,7 @@
 
 
 def test_gang_starts_whole() -> None:
-    """Guards against a gang of which some members wait for others that have no room."""
+    """A gang starts as a whole or not at all, or members would wait for others that do not fit."""
     harness = SchedulerHarness(targets=1, cpu=2000)
     harness.add_job(make_job(GANG))
     assert not harness.plan()
@@ -279,7 +282,7 @@
 
 
 def test_gang_member_refused() -> None:
-    """Guards against members that end alone: after a refusal the others are stopped first."""
+    """After one member of a gang is refused, the others are stopped before the gang starts again."""
     harness = SchedulerHarness()
     harness.add_job(make_job(GANG))
     first, *others = [order for order in harness.plan()]
@@ -296,7 +299,7 @@
 
 
 def test_gang_is_done_with_one_end() -> None:
-    """Guards against a gang that runs again although one end `done` stands for all members."""
+    """One end as `done` completes all members of a gang, which must not run again."""
     harness = SchedulerHarness()
     harness.add_job(make_job(GANG))
     harness.end(harness.start()[1], RunOutcome.DONE)
@@ -304,7 +307,7 @@
 
 
 def test_gang_in_one_rack() -> None:
-    """Guards against a gang that is spread over racks when one rack has room for it."""
+    """A gang is not spread over racks when one rack has enough capacity for it."""
     harness = SchedulerHarness(targets=0)
     for rack, count in (('r1', 1), ('r2', 2)):
         for number in range(count):
@@ -314,7 +317,7 @@
 
 
 def test_advice() -> None:
-    """Guards against starts without a ticket, or with one that is no longer valid."""
+    """A task of a queue with advice starts only with a ticket that is still valid."""
     harness = SchedulerHarness()
     queue = replace(QUEUE, advice_validity_ms=3000)
     harness.add_job(make_job(queue=queue))
@@ -333,8 +336,8 @@
 @pytest.mark.parametrize(
     ('tail_ms', 'percent'), [(50, None), (90, 50), (120, 0)], ids=['calm', 'near', 'over']
 )
-def test_fillers_are_paced(tail_ms: float, percent: int | None) -> None:
-    """Guards against users whose responses stay slow because of fillers beside their tasks."""
+def test_best_effort_runs_are_paced(tail_ms: float, percent: int | None) -> None:
+    """Best-effort runs are slowed down when they lengthen the tail latency of tasks beside them."""
     harness = SchedulerHarness(targets=1)
     serving = Step(1, Resources(1000, 100), lasting=True, tail_limit_ms=100)
     harness.add_job(make_job(serving, Step(1, Resources(1000, 100), filler=True)))
@@ -347,7 +350,7 @@
 
 
 def test_occurrences_start_when_due() -> None:
-    """Guards against an occurrence of a timed job that starts before its time."""
+    """An occurrence of a timed job must not start before it is due."""
     harness = SchedulerHarness()
     due_ms = int(harness.now_s * 1000) + 5000
     harness.add_job(make_job(occurrence_count=2, first_due_ms=due_ms, interval_ms=1000))
@@ -367,7 +370,7 @@
     ],
 )
 def test_placement(step: Step, target: str | None) -> None:
-    """Guards against tasks on targets that lack a label, the data or the room."""
+    """A task is placed on a target that has its label, its data and enough capacity."""
     harness = SchedulerHarness()
     harness.add_target('t2', 4000, frozenset(('big', 'r9')))
     harness.add_job(make_job(step))
@@ -375,7 +378,7 @@
 
 
 def test_tasks_per_target() -> None:
-    """Guards against more tasks of a step on one target than the step allows."""
+    """A target gets no more tasks of a step than the step allows."""
     harness = SchedulerHarness(targets=2)
     harness.add_job(make_job(Step(5, Resources(100, 10), target_limit=2)))
     starts = harness.start()
@@ -383,9 +386,9 @@
 
 
 def test_stalled_task_moves() -> None:
-    """Guards against tasks that stand still on a target until their job is late.
+    """A task without progress is moved to another target before its job is late.
 
-    Targets with this fault (`srv_grey`, variant `hang`) stay healthy by their own word.
+    Targets with this fault (`srv_grey`, variant `hang`) still report themselves as healthy.
     """
     harness = SchedulerHarness()
     harness.add_job()
@@ -401,7 +404,7 @@
 
 
 def test_long_task_stays() -> None:
-    """Guards against restarts of a task that is long itself while its target works as usual."""
+    """A task that takes long on a target that works as usual is not restarted."""
     harness = SchedulerHarness(targets=1)
     harness.add_job(make_job(Step(3, Resources(1000, 100), estimate_ms=1000)))
     orders = harness.start()
@@ -412,7 +415,7 @@
 
 
 def test_barred_target_is_probed() -> None:
-    """Guards against many attempts lost at once when a failing target is tried again."""
+    """A failing target is tried with one run after its cooldown, not with many at once."""
     harness = SchedulerHarness(targets=1)
     harness.add_job(make_job(Step(6, Resources(100, 10))))
     for order in harness.start()[:2]:
@@ -423,8 +426,8 @@
     assert len(harness.start()) == 1
 
 
-def test_gang_without_room_holds_up_nobody() -> None:
-    """Guards against jobs that never start because a gang of their size does not fit."""
+def test_gang_that_does_not_fit_blocks_nobody() -> None:
+    """A gang that does not fit must not keep jobs with smaller requests from starting."""
     harness = SchedulerHarness(targets=1, cpu=2000)
     harness.add_job(make_job(GANG))
     harness.add_job(make_job(Step(2, Resources(1000, 100)), job_id='00000000000000b1'))
@@ -432,10 +435,10 @@
 
 
 def test_failed_end_counts_once() -> None:
-    """Guards against a job that is given up early: an end that is listed again is one attempt.
+    """A failed end that is listed again counts as one attempt, or the job would fail too early.
 
     Seen on prevoz-plan hunt-00d4-27 and hunt-00d4-15: the earlier holder had stored a failed end but
-    was lost before it acknowledged it, and its successor counted the end once more.
+    was lost before it acknowledged it, and its successor counted the end a second time.
     """
     harness = SchedulerHarness(epoch=2)
     stored = Progress(failures={(0, 0, 0): {1, 2}})
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -1,4 +1,4 @@
-"""The link to a target: leases and silence."""
+"""The link to a target: leases, silence and intervals of polls."""
 
 import itertools
 from typing import Any, cast
@@ -19,10 +19,10 @@
 
 
 class FakeTarget:
-    """Answers holds with an empty list until it falls silent or is replaced."""
+    """Answers hold requests with an empty report until `failure` is set."""
 
     def __init__(self, harness: SchedulerHarness) -> None:
-        """Answer for the runs that the board has on t0."""
+        """Start as target t0 of the harness."""
         self.harness = harness
         self.failure: Exception | None = None
         self.expiries: list[int | None] = []
@@ -30,7 +30,7 @@
     async def hold(
         self, fence: int, last_seen: int, expires_ms: int | None, wait_ms: int
     ) -> TargetReport:
-        """Answer one hold."""
+        """Answer one hold request after its wait."""
         await trio.sleep(wait_ms / 1000)
         if self.failure is not None:
             raise self.failure
@@ -56,7 +56,7 @@
         """Do nothing."""
 
     async def wait_stored(self, limit_s: float) -> None:
-        """Return after a moment."""
+        """Return after 10 ms."""
         await trio.sleep(0.01)
 
 
@@ -76,7 +76,7 @@
 
 
 async def start_run(nursery: trio.Nursery, harness: SchedulerHarness, client: FakeTarget) -> Order:
-    """Run the link of a target, and order a run that no report has to show; return the order."""
+    """Run the link of a target, and return the start order of a run that no report has to list."""
     link = make_link(harness, client)
     nursery.start_soon(link.run)
     await trio.sleep(0.5)
@@ -93,10 +93,10 @@
 async def test_runs_of_lost_target(
     autojump_clock: trio.testing.MockClock, failure: Exception, limit_s: float
 ) -> None:
-    """Guards against tasks that never run again after their target has gone.
+    """The tasks of a target that is gone are queued again once its lease has ended.
 
-    Seen on prevoz-plan mix, seed 726267510281: each look at a target that had left moved the end of
-    its lease on, so that its runs never lapsed.
+    Seen on prevoz-plan mix, seed 726267510281: each poll of a target that was gone extended its
+    lease in the holder's record, so that its runs never lapsed.
     """
     harness = SchedulerHarness(targets=1)
     harness.add_job()
@@ -113,7 +113,7 @@
 
 
 async def test_lease_outlasts_silence(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a second run while the first may still hold its lease."""
+    """A task of a silent target is not started again while its first run may still hold a lease."""
     harness = SchedulerHarness(targets=1)
     harness.add_job()
     client = FakeTarget(harness)
@@ -130,7 +130,7 @@
 
 
 def test_outcomes_are_known() -> None:
-    """Guards against an outcome on the wire that the product does not know."""
+    """The outcomes that targets report are exactly these."""
     assert {outcome.value for outcome in RunOutcome} == {
         'done',
         'failed',
@@ -142,26 +142,26 @@
 
 
 class SilentTarget(FakeTarget):
-    """Never answers, and notes when it was asked."""
+    """Never answers, and records the times of the requests."""
 
     def __init__(self, harness: SchedulerHarness) -> None:
-        """Start without a call."""
+        """Start without a request."""
         super().__init__(harness)
         self.asked_s: list[float] = []
 
     async def hold(
         self, fence: int, last_seen: int, expires_ms: int | None, wait_ms: int
     ) -> TargetReport:
-        """Note the call and refuse it."""
+        """Record the time of the request and give no answer."""
         self.asked_s.append(trio.current_time())
         raise TargetSilentError('refused')
 
 
-async def test_looks_at_moved_targets(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards the cost of targets whose VMs have moved: a holder orders dozens of moves a second.
+async def test_polls_of_moved_targets(autojump_clock: trio.testing.MockClock) -> None:
+    """Polls of a target whose VM has moved back off exponentially, because moves are many.
 
-    Pattern: exponential backoff. Seen on prevoz-plan-large quiet-1: 1,728 moves left as many links
-    that tried to connect three times a second until the entry and the lease were gone.
+    A holder orders dozens of moves a second. Seen on prevoz-plan-large quiet-1: 1,728 moves left as
+    many links that tried to connect three times a second until the entry and the lease were gone.
     """
     harness = SchedulerHarness(targets=1)
     client = SilentTarget(harness)
@@ -172,8 +172,8 @@
     assert len(client.asked_s) <= 7
 
 
-async def test_looks_at_silent_runs(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a target with runs that is found late when it answers again."""
+async def test_polls_of_silent_runs(autojump_clock: trio.testing.MockClock) -> None:
+    """A silent target with runs is polled often, so that a recovery is noticed soon."""
     harness = SchedulerHarness(targets=1)
     harness.add_job()
     harness.start()
@@ -189,7 +189,10 @@
     ('lasting', 'at_work', 'wait_ms'), [(1, 0, 500), (1, 1, 1000), (0, 0, 1000)]
 )
 def test_wait_for_report(lasting: int, at_work: int, wait_ms: int) -> None:
-    """Guards against lasting tasks that are seen at work a second late, which holds up upkeep."""
+    """Long-running tasks that warm up are polled more often, because maintenance waits for them.
+
+    Otherwise they would be known to be at work up to a second late.
+    """
     harness = SchedulerHarness(targets=1)
     harness.add_job()
     (order,) = harness.start()
--- a/tests/scheduling/test_target_registry.py
+++ b/tests/scheduling/test_target_registry.py
@@ -1,8 +1,8 @@
 """The row of targets that may have runs, while the store is slow or answers are lost.
 
-Pattern: write-ahead in a task of its own, with a gate for each target, in place of a write that all
-work waits for. Seen in the log of prevoz-plan-large, whose 1,700 moves a day register as many new
-targets: each plan waited for a transaction, up to a second with a slow store.
+The row is written ahead of the starts by a task of its own, and only starts on targets that it does
+not name yet wait for it. In the log of prevoz-plan-large, whose 1,700 moves a day register as many
+new targets, each plan waited for a transaction, up to a second with a slow store.
 """
 
 from collections.abc import Sequence
@@ -24,7 +24,7 @@
 
 
 class SlowStore:
-    """A row that takes a second to write; some answers are lost or refused."""
+    """A store of one row, with writes that take a second and may fail after taking effect."""
 
     def __init__(self) -> None:
         """Start without a row."""
@@ -34,7 +34,7 @@
         self.permitted = True
 
     async def commit(self, part: str, changes: Sequence[RowChange], permit: Permit) -> int:
-        """Write the row, or raise the next fault."""
+        """Write the row, then return its version or raise the next fault."""
         (change,) = changes
         if not permit():
             raise StoreRefusedError('not permitted')
@@ -52,10 +52,10 @@
         return decode_registry(self.payload)
 
 
-def start_roster(
+def start_target_registry(
     nursery: trio.Nursery, harness: SchedulerHarness, store: SlowStore
 ) -> TargetRegistry:
-    """Run the roster of the board and let it see the targets."""
+    """Run the target registry and let it check the targets of the scheduler state."""
     rows = cast('RowsClient', store)
     registry = TargetRegistry(
         rows, harness.scheduler_state, TrioClock(), lambda: None, lambda: store.permitted
@@ -72,13 +72,13 @@
 
 
 async def test_work_goes_on(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against plans that wait for a slow store whenever a target registers."""
+    """Starts on stored targets must not wait for a slow store when another target registers."""
     harness, store = SchedulerHarness(targets=1, cpu=1000), SlowStore()
     harness.add_job()
     harness.add_job(make_job(job_id=OTHER_JOB_ID))
     async with trio.open_nursery() as nursery:
         add_new_target(harness, 'late')
-        start_roster(nursery, harness, store)
+        start_target_registry(nursery, harness, store)
         await trio.sleep(0.1)
         assert [order.target_id for order in harness.start()] == ['t0']
         assert not harness.plan()
@@ -89,12 +89,12 @@
 
 
 async def test_lost_answers(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a target that never gets work because the answer to its write was lost."""
+    """A target gets work although the answers to the writes that stored it were lost."""
     harness, store = SchedulerHarness(targets=0), SlowStore()
     store.faults = [StoreUnavailableError('lost'), StoreUnavailableError('lost')]
     add_new_target(harness, 'late')
     async with trio.open_nursery() as nursery:
-        start_roster(nursery, harness, store)
+        start_target_registry(nursery, harness, store)
         while not harness.scheduler_state.targets['late'].in_registry:
             await trio.sleep(0.01)
             assert trio.current_time() < 6 * (COMMIT_S + RETRY_S)
@@ -103,11 +103,11 @@
 
 
 async def test_target_leaves_the_row(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a start on a target while a row without it is being written."""
+    """A target that recovers while a row without it is being written gets no run until it is stored."""
     harness, store = SchedulerHarness(targets=0), SlowStore()
     add_new_target(harness, 'late')
     async with trio.open_nursery() as nursery:
-        registry = start_roster(nursery, harness, store)
+        registry = start_target_registry(nursery, harness, store)
         await trio.sleep(COMMIT_S + SHRINK_INTERVAL_S)
         record = harness.scheduler_state.targets['late']
         record.silent = True
@@ -124,14 +124,14 @@
 
 
 async def test_row_of_later_holder(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a holder whose term is over and that overwrites the row of its successor.
+    """A holder whose term has ended must not overwrite the row of its successor.
 
-    A conflict shows it the version of that row, with which the next attempt would succeed.
+    A conflict gives it the version of that row, with which its next attempt would succeed.
     """
     harness, store = SchedulerHarness(targets=0), SlowStore()
     add_new_target(harness, 'late')
     async with trio.open_nursery() as nursery:
-        start_roster(nursery, harness, store)
+        start_target_registry(nursery, harness, store)
         await trio.sleep(COMMIT_S / 2)
         store.payload, store.version = encode_registry(frozenset(('theirs',))), 7
         store.permitted = False
--- a/tests/scheduling/test_term_keeper.py
+++ b/tests/scheduling/test_term_keeper.py
@@ -1,4 +1,4 @@
-"""The lease row of the term as one node keeps it."""
+"""The term keeper of one node, while answers of the store are late."""
 
 from collections.abc import Sequence
 from typing import cast
@@ -19,10 +19,10 @@
 
 
 class SlowRows:
-    """A store with the row of the term; a commit takes effect at once and is answered late."""
+    """A store of the lease row; a commit takes effect at once and is answered late."""
 
     def __init__(self) -> None:
-        """Start with a term that was given up."""
+        """Start with a term that another node has released."""
         self.row = encode_term(TermRow('node-9', 1, released=True))
         self.version = 1
         self.store_time = None
@@ -30,7 +30,7 @@
         self.commits = 0
 
     async def read_row(self, table: str, part: str, key: str) -> StoredRow:
-        """Return the row."""
+        """Return the lease row."""
         return StoredRow(table, part, key, self.row, self.version)
 
     async def commit(self, part: str, changes: Sequence[RowChange]) -> int:
@@ -54,22 +54,22 @@
 
 
 def make_keeper(rows: SlowRows) -> TermKeeper:
-    """Return the keeper of a node that starts now."""
+    """Return the term keeper of a node that starts now."""
     return TermKeeper(cast('RowsClient', rows), 'node-1', SystemClock(), cores=4)
 
 
 async def wait_until_held(keeper: TermKeeper) -> None:
-    """Return once the node has the term."""
+    """Return once the node holds the term."""
     with trio.fail_after(5):
         while keeper.held is None:
             await trio.sleep(0.01)
 
 
 async def test_release_during_renewal() -> None:
-    """Guards against a term that is held again after it was released.
+    """A released term must not be held again when the answer to a renewal comes after the release.
 
-    Seen on prevoz-plan-grown trouble-2: the answer to a renewal came after the release, a second
-    holder of the same term gave out the same run ids, and a task had one attempt too many.
+    Seen on prevoz-plan-grown trouble-2: a second holder of the same term used the same run ids, and
+    a task had one attempt too many.
     """
     rows = SlowRows()
     keeper = make_keeper(rows)
@@ -87,7 +87,7 @@
 
 
 async def test_depose_during_renewal() -> None:
-    """Guards against a term that is held again after another holder's fence was seen."""
+    """A term that was lost to a higher fence must not be held again when a renewal is answered."""
     rows = SlowRows()
     keeper = make_keeper(rows)
     async with trio.open_nursery() as nursery:
@@ -102,10 +102,10 @@
 
 
 async def test_shorter_term_without_answer() -> None:
-    """Guards against a holder that counts on a long term while its row names a shorter one.
+    """A holder must not count on a long term when its row may already name a shorter one.
 
-    Seen once as two holders at the same moment (test_handover.py::test_one_holder[32], beside load): a
-    renewal with a shorter term had taken effect and its answer was lost.
+    Seen once as two holders at the same time (test_handover.py::test_one_holder[32], on a busy
+    machine): a renewal with a shorter term had taken effect and its answer was lost.
     """
     rows = SlowRows()
     keeper = make_keeper(rows)
