--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -55,9 +55,11 @@
 # After a plan, the planner pauses for this many times the plan's duration. So planning takes at most
 # a third of the processor time, and the rest is left for orders and reports.
 PLAN_PAUSE_RATIO = 2
+# The planner also runs at this interval, because cooldowns end and occurrences become due without an
+# event.
 TICK_INTERVAL_S = 0.1
 RETRY_S = 0.2
-# The users fetch metrics every 5 s.
+# Well below the 5 s at which the users fetch metrics.
 LEVELS_INTERVAL_S = 1.0
 MS_PER_S = 1000
 
@@ -161,7 +163,7 @@
             await supervise('planner', self._plan_forever, self._metrics)
 
     def submit_orders(self, orders: list[Order]) -> None:
-        """Send orders and plan again soon."""
+        """Send orders to their targets and have the planner run soon."""
         self._wake.set()
         self._send(orders)
 
@@ -270,7 +272,7 @@
             self.submit_orders,
         )
 
-    # Jobs
+    # Rows of jobs
 
     def _handle_intake_row(self, row: StoredRow) -> None:
         if row.payload is None:
@@ -299,7 +301,7 @@
         )
         self._wake.set()
 
-    # Targets
+    # Rows of targets and their links
 
     def _mark_unlisted_targets(self, rows: tuple[StoredRow, ...]) -> None:
         listed = {row.key for row in rows}
@@ -349,7 +351,7 @@
         if record is not None and record.leaving and not record.runs:
             del self.scheduler_state.targets[target_id]
 
-    # Planning
+    # Planning and metrics
 
     async def _tick(self) -> None:
         while True:
--- a/comfreywind/scheduling/job_retention.py
+++ b/comfreywind/scheduling/job_retention.py
@@ -72,7 +72,10 @@
         self._versions[job_id] = version
 
     def record_tombstone(self, job_id: str, version: int, progress_version: int) -> None:
-        """Record that a tombstone has replaced the job, whose progress row has the given version."""
+        """Record that a tombstone has replaced the job.
+
+        `progress_version` is the last known version of the job's progress row.
+        """
         record = self._state.jobs.get(job_id)
         if record is not None:
             progress_version = record.progress_version
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -141,7 +141,7 @@
     def reset_target(self, record: TargetRecord, born_ms: int, now_s: float) -> None:
         """Reset the record of a target that has a new incarnation, and requeue its lost runs."""
         log.info(
-            'target %s: restarted; %d runs were lost and are queued again',
+            'target %s: new incarnation; %d runs were lost, tasks still needed are queued again',
             record.entry.target_id,
             len(record.runs),
         )
@@ -201,7 +201,7 @@
                 self._mark_job_started(order.key.job_id)
             return []
         log.info(
-            'task %s run %d: start answered %s by target %s; the task is queued again',
+            'task %s run %d: not started (%s) on target %s; queued again if still needed',
             run.key,
             run.run_id,
             answer,
@@ -327,7 +327,7 @@
         return changed
 
     def mark_changed(self, record: JobRecord) -> None:
-        """Mark the progress of the job as to be stored, unless the job was dropped."""
+        """Mark the job's progress as changed and not stored yet, unless the job was dropped."""
         if self.jobs.get(record.job.job_id) is record:
             self.changed_jobs[record.job.job_id] = record
 
@@ -337,12 +337,14 @@
             record.reconciled = True
 
     def add_run(self, run: RunRecord, record: JobRecord | None) -> None:
+        """Add a run to its target, its team's usage and, unless the job is unknown, its job."""
         self.targets[run.target_id].add_run(run)
         self.team_usage[run.team] = self.team_usage.get(run.team, NO_RESOURCES).add(run.request)
         if record is not None:
             record.runs[run.key] = run
 
     def discard_run(self, run: RunRecord) -> None:
+        """Remove a run from its target, team and job, and keep its checkpoint."""
         target = self.targets.get(run.target_id)
         if target is None or target.runs.get(run.key) is not run:
             return
@@ -354,6 +356,7 @@
             record.record_checkpoint(run.key, run.checkpoint)
 
     def requeue(self, key: TaskKey) -> None:
+        """Add a task to the waiting ones of its job, if it still has to be started."""
         record = self.jobs.get(key.job_id)
         if record is None or not record.needs_start(key):
             return
@@ -424,7 +427,7 @@
             self._apply_failure(record, target, ended, now_s)
         else:
             log.info(
-                'task %s run %d: ended as %s on target %s; it runs again if it is still needed',
+                'task %s run %d: ended as %s on target %s; queued again if still needed',
                 ended.key,
                 ended.run_id,
                 ended.outcome,
@@ -556,7 +559,7 @@
             return self.stop_run(run, now_s)
         if run.state is RunState.RUNNING or run.stop_confirmed:
             log.info(
-                'task %s run %d: no longer listed by target %s; the task is queued again',
+                'task %s run %d: no longer listed by target %s; queued again if still needed',
                 run.key,
                 run.run_id,
                 run.target_id,
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -87,7 +87,7 @@
             while await self._poll():
                 await self._pause()
         except TargetReplacedError as error:
-            log.info('target %s: replaced, its runs are queued again: %s', target_id, error)
+            log.info('target %s: replaced, its link and its runs end: %s', target_id, error)
             self._record.leaving = True
             self._state.requeue_runs(self._record, self._clock.read_monotonic_s())
             self._submit_orders([])
@@ -219,7 +219,7 @@
             return True
         if record.runs:
             log.info(
-                'target %s: %d runs have lapsed and are queued again',
+                'target %s: %d runs have lapsed, tasks still needed are queued again',
                 record.entry.target_id,
                 len(record.runs),
             )
@@ -245,8 +245,8 @@
 
     def _choose_wait_ms(self) -> int:
         record = self._record
-        is_first_report = self._clock_offset_ms is None or not record.reported
-        if is_first_report or record.silent or not record.runs:
+        needs_first_report = self._clock_offset_ms is None or not record.reported
+        if needs_first_report or record.silent or not record.runs:
             return 0
         if record.applied_number > record.stored_number:
             return 0
--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -64,7 +64,7 @@
         self._apply_earlier_row(await self._rows.read_row(TABLE_TERM, HOLDER_PART, REGISTRY_KEY))
 
     def drop_earlier_targets(self) -> None:
-        """Stop storing the targets of earlier holders; all runs there are known."""
+        """Stop storing the targets of earlier holders, whose runs are known or have lapsed."""
         self._keeps_earlier_targets = False
 
     def update(self) -> None:
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -53,7 +53,8 @@
 class TermKeeper:
     """Polls the lease row of the term, takes the term when it is free, and renews it.
 
-    `published_pending` and `published_refused` are written into the row with each renewal.
+    `published_pending` and `published_refused` are written into the row whenever this node takes or
+    renews the term.
     """
 
     def __init__(self, rows: RowsClient, node: str, clock: Clock, cores: float = 1) -> None:
