--- a/comfreywind/scheduling/run_record.py
+++ b/comfreywind/scheduling/run_record.py
@@ -48,7 +48,7 @@
     ending: bool = False
     level: float = 0
     pace_percent: int = 100
-    percent: int = 0
+    progress_percent: int = 0
     last_progress_s: float = 0
     tail_limit_ms: int = 0
     filler: bool = False
@@ -58,5 +58,5 @@
         """Return whether a short task that has reported progress before is stalled now."""
         short = not self.lasting and not self.filler
         working = self.state is RunState.RUNNING and self.last_progress_s > 0
-        unfinished = self.percent < FULL_PERCENT
+        unfinished = self.progress_percent < FULL_PERCENT
         return short and working and unfinished and now_s - self.last_progress_s >= STALL_TIMEOUT_S
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -587,8 +587,8 @@
     run.checkpoint = active.checkpoint or run.checkpoint
     run.at_work = active.at_work_percent >= 100 and not run.ending
     run.level = active.level
-    if active.at_work_percent > run.percent or not run.last_progress_s:
-        run.percent = active.at_work_percent
+    if active.at_work_percent > run.progress_percent or not run.last_progress_s:
+        run.progress_percent = active.at_work_percent
         run.last_progress_s = now_s
 
 
