--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -120,7 +120,7 @@
             (*INTAKE_PARTS, *PROGRESS_PARTS),
             self._handle_intake_row,
             self._clock,
-            after=self._progress_loaded,
+            deliver_after=self._progress_loaded,
             metrics=self._metrics,
         )
         targets = RowFeed(
@@ -131,7 +131,7 @@
             self._clock,
             self._mark_unlisted_targets,
             # Targets report runs, and a run of a job that is not loaded yet would be stopped.
-            after=intake.loaded,
+            deliver_after=intake.loaded,
             metrics=self._metrics,
         )
         async with trio.open_nursery() as nursery:
--- a/comfreywind/scheduling/row_feed.py
+++ b/comfreywind/scheduling/row_feed.py
@@ -34,7 +34,7 @@
         handle_row: RowHandler,
         clock: Clock,
         handle_snapshot: SnapshotHandler | None = None,
-        after: trio.Event | None = None,
+        deliver_after: trio.Event | None = None,
         metrics: Metrics | None = None,
     ) -> None:
         """Pass each row that was read or changed to `handle_row`.
@@ -42,7 +42,7 @@
         `handle_snapshot` gets all rows of a snapshot before they are passed on one by one. Rows may
         be read before `after` is set, but none is passed on until then.
         """
-        self._after = after
+        self._after = deliver_after
         self._metrics = metrics or NoMetrics()
         self._rows = rows
         self._table = table
