--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -52,11 +52,11 @@
 
 # Changes that come within this time share one plan.
 BATCH_WINDOW_S = 0.004
-# After a plan, the planner pauses for this many times the plan's duration. So planning takes at most
-# a third of the processor time, and the rest is left for orders and reports.
+# After a plan, the planner pauses for this many times the plan's duration. So planning takes at
+# most a third of the processor time, and the rest is left for orders and reports.
 PLAN_PAUSE_RATIO = 2
-# The planner also runs at this interval, because cooldowns end and occurrences become due without an
-# event.
+# The planner also runs at this interval, because cooldowns end and occurrences become due without
+# an event.
 TICK_INTERVAL_S = 0.1
 RETRY_S = 0.2
 # Well below the 5 s at which the users fetch metrics.
--- a/comfreywind/scheduling/row_feed.py
+++ b/comfreywind/scheduling/row_feed.py
@@ -30,7 +30,7 @@
         self,
         rows: RowsClient,
         table: str,
-        parts: Iterable[str],
+        partitions: Iterable[str],
         handle_row: RowHandler,
         clock: Clock,
         handle_snapshot: SnapshotHandler | None = None,
@@ -40,13 +40,13 @@
         """Pass each row that was read or changed to `handle_row`.
 
         `handle_snapshot` gets all rows of a snapshot before they are passed on one by one. Rows may
-        be read before `after` is set, but none is passed on until then.
+        be read before `deliver_after` is set, but none is passed on until then.
         """
         self._after = deliver_after
         self._metrics = metrics or NoMetrics()
         self._rows = rows
         self._table = table
-        self._parts = tuple(parts)
+        self._partitions = tuple(partitions)
         self._handle_row = handle_row
         self._handle_snapshot = handle_snapshot
         self._clock = clock
@@ -87,7 +87,7 @@
     async def _read_snapshot(self, requested_s: float) -> int:
         rows: list[StoredRow] = []
         versions: list[int] = []
-        for page in await self._rows.read_parts(self._table, self._parts):
+        for page in await self._rows.read_parts(self._table, self._partitions):
             rows.extend(page.rows)
             versions.append(page.version)
         if self._after is not None:
--- a/comfreywind/scheduling/rules_follower.py
+++ b/comfreywind/scheduling/rules_follower.py
@@ -20,7 +20,7 @@
 
 
 class RulesFollower:
-    """Owns this node's rules and waves; an older version of the rules never replaces a newer one."""
+    """Owns the node's rules and waves; an older version of the rules never replaces a newer one."""
 
     def __init__(self, rows: RowsClient, clock: Clock) -> None:
         """Read the operator's table with the store's client."""
--- a/comfreywind/scheduling/run_record.py
+++ b/comfreywind/scheduling/run_record.py
@@ -30,7 +30,7 @@
     that was requested later lists the run if it exists. `ending` marks a run that an order of this
     holder is about to end. `at_work` is set while a task has reported 100 % and is not ending.
     `level` is the tail latency that the task reports, in milliseconds. `last_progress_s` is when
-    `percent`, the part of the task that is done, last increased, or 0 before the first report.
+    `progress_percent`, how much of the task is done, last increased, or 0 before the first report.
     """
 
     key: TaskKey
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -243,7 +243,7 @@
     def stop_broken_gangs(self, now_s: float) -> list[Order]:
         """Return the stop orders for gangs of which a member has ended or was refused.
 
-        The other members would wait for it or continue without it. The gang starts again as a whole.
+        The other members would wait for it or continue without it. The gang restarts as a whole.
         """
         orders: list[Order] = []
         for record in self.open_jobs.values():
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -63,7 +63,7 @@
         submit_orders: Callable[[list[Order]], None],
         metrics: Metrics,
     ) -> None:
-        """Serve the target of `record`; `submit_orders` gets the orders that follow from its reports.
+        """Serve the target of `record`; `submit_orders` gets the orders that its reports lead to.
 
         `lease_limit_s` is the longest lease that the platform allows.
         """
@@ -169,8 +169,8 @@
     async def _poll(self) -> bool:
         """Request one report; return False when the link has to end."""
         requested_s = self._clock.read_monotonic_s()
-        # A silent target could apply an extension whose answer is lost, so that its runs would never
-        # lapse. It gets no extension.
+        # A silent target gets no extension of its lease. It could apply the extension although the
+        # answer is lost, and its runs would never lapse.
         extends_lease = self._keeper.is_valid() and not self._record.silent
         expires_ms = self._compute_expiry_ms() if extends_lease else None
         wait_ms = self._choose_wait_ms()
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -50,11 +50,11 @@
     def is_usable(self, now_s: float) -> bool:
         """Return whether the target could take a run at this moment if the registry names it."""
         unavailable = self.entry.draining or self.leaving or self.emptying
-        unheard = self.silent or not self.reported
+        unresponsive = self.silent or not self.reported
         # After consecutive failures, a single run probes whether the target works again.
         short_runs = not all(run.lasting for run in self.runs.values())
         probing = self.consecutive_failures > 1 and short_runs
-        return not (unavailable or unheard or probing) and now_s >= self.cooldown_until_s
+        return not (unavailable or unresponsive or probing) and now_s >= self.cooldown_until_s
 
     def add_run(self, run: RunRecord) -> None:
         """Add a run and reserve its resources."""
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -58,7 +58,7 @@
     """
 
     def __init__(self, rows: RowsClient, node: str, clock: Clock, cores: float = 1) -> None:
-        """Use the store's client; `node` is this node's name, `cores` the number of its VM's cores."""
+        """Use the store's client; `node` is this node's name, `cores` the size of its VM."""
         self._rows = rows
         self._node = node
         self._clock = clock
--- a/comfreywind/scheduling/term_row.py
+++ b/comfreywind/scheduling/term_row.py
@@ -50,7 +50,7 @@
 
 
 def decode_registry(payload: bytes | None) -> frozenset[str]:
-    """Return the targets that may have runs; raise RowFormatError when the payload can't be read."""
+    """Return the ids in the registry row; raise RowFormatError when the payload can't be read."""
     if not payload:
         return frozenset()
     with reading_row('row of the roster'):
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -169,7 +169,7 @@
 
 
 async def test_time_counts_from_the_takeover(autojump_clock: trio.testing.MockClock) -> None:
-    """The retention time starts anew at a takeover: the new holder does not know when jobs ended."""
+    """The retention restarts at a takeover: the new holder does not know when jobs have ended."""
     harness = await make_harness()
     harness.clock.advance(RETENTION_S - 1)
     await harness.take_over()
@@ -265,7 +265,7 @@
 
 
 class RemovingRows(MemoryRows):
-    """A store in which the job is removed between the reads of its accepted row and its progress."""
+    """A store that removes the job between the reads of its accepted row and of its progress."""
 
     async def read_row(self, table: str, part: str, key: str) -> StoredRow:
         """Return a row."""
@@ -287,7 +287,7 @@
 
 
 async def test_fleet_forgets_and_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In a fleet, the rows of a job are removed, it is answered 410, and its id can be used again."""
+    """A fleet removes the rows of a job, answers 410 for it, and accepts its id again."""
     monkeypatch.setattr(job_retention, 'SWEEP_INTERVAL_S', 0.1)
     monkeypatch.setattr(holder, 'RETENTION_MARGIN_S', 0.2)
     timings = JobTimings(status_retention_s=0.6)
--- a/tests/scheduling/test_scheduler_state.py
+++ b/tests/scheduling/test_scheduler_state.py
@@ -102,7 +102,7 @@
         (StartAnswer.UNHEALTHY, 1),
     ],
 )
-def test_pending_until_begun(answer: StartAnswer, pending: int) -> None:
+def test_pending_until_started(answer: StartAnswer, pending: int) -> None:
     """A job counts as pending until a target has confirmed a start; an order alone is not enough.
 
     Seen on prevoz-plan-large quiet-1, seed 236301455: starts timed out, and 0 jobs were counted as
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize('listed', ['active', 'ended'])
-def test_begun_by_report(listed: str) -> None:
+def test_started_by_report(listed: str) -> None:
     """A job is not pending any more once a report lists a run or an end of one of its tasks."""
     harness = SchedulerHarness()
     harness.add_job(make_job(replace(STEP, task_count=2)))
@@ -135,7 +135,7 @@
 def test_start_without_answer() -> None:
     """A start without an answer may take effect late, beside a second run of the task.
 
-    So the run is stopped first, and only a report requested after the confirmed stop frees the task.
+    The run is stopped first, and only a report requested after the confirmed stop frees its task.
     """
     harness = SchedulerHarness(targets=1)
     harness.add_job()
@@ -153,7 +153,7 @@
 
 
 def test_stop_without_answer_is_repeated() -> None:
-    """A stop order without an answer is sent again, or the run of a cancelled job would continue."""
+    """A stop order without an answer is repeated, or the run of a cancelled job would continue."""
     harness = SchedulerHarness(targets=1)
     harness.add_job()
     harness.start()
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize('case', ['cancelled', 'unknown', 'done', 'elsewhere'])
-def test_unwanted_run_is_stopped(case: str) -> None:
+def test_unneeded_run_is_stopped(case: str) -> None:
     """Runs of an earlier holder are stopped when their job is closed, unknown or runs elsewhere."""
     harness = SchedulerHarness(epoch=2)
     if case != 'unknown':
@@ -282,7 +282,7 @@
 
 
 def test_gang_member_refused() -> None:
-    """After one member of a gang is refused, the others are stopped before the gang starts again."""
+    """After a member of a gang is refused, the others are stopped before the gang starts again."""
     harness = SchedulerHarness()
     harness.add_job(make_job(GANG))
     first, *others = [order for order in harness.plan()]
@@ -437,8 +437,8 @@
 def test_failed_end_counts_once() -> None:
     """A failed end that is listed again counts as one attempt, or the job would fail too early.
 
-    Seen on prevoz-plan hunt-00d4-27 and hunt-00d4-15: the earlier holder had stored a failed end but
-    was lost before it acknowledged it, and its successor counted the end a second time.
+    Seen on prevoz-plan hunt-00d4-27 and hunt-00d4-15: the earlier holder had stored a failed end
+    but was lost before it acknowledged it, and its successor counted the end a second time.
     """
     harness = SchedulerHarness(epoch=2)
     stored = Progress(failures={(0, 0, 0): {1, 2}})
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize(
     ('failure', 'limit_s'),
-    [(TargetSilentError('silent'), 7), (TargetReplacedError('another life'), 2)],
+    [(TargetSilentError('silent'), 7), (TargetReplacedError('another incarnation'), 2)],
 )
 async def test_runs_of_lost_target(
     autojump_clock: trio.testing.MockClock, failure: Exception, limit_s: float
--- a/tests/scheduling/test_target_registry.py
+++ b/tests/scheduling/test_target_registry.py
@@ -103,7 +103,7 @@
 
 
 async def test_target_leaves_the_row(autojump_clock: trio.testing.MockClock) -> None:
-    """A target that recovers while a row without it is being written gets no run until it is stored."""
+    """A target that recovers while a row without it is being written must not get a run yet."""
     harness, store = SchedulerHarness(targets=0), SlowStore()
     add_new_target(harness, 'late')
     async with trio.open_nursery() as nursery:
