--- a/comfreywind/intake/job_app.py
+++ b/comfreywind/intake/job_app.py
@@ -115,7 +115,7 @@
         queue, team = self._admit(path, headers)
         job_id = path[len(queue.prefix) :]
         if not job_id and method == 'GET':
-            pending = self._keeper.seen_row.pending.get(queue.name, 0)
+            pending = self._keeper.lease_row.pending.get(queue.name, 0)
             return Reply(200, {'pending': pending})
         if not JOB_ID_PATTERN.fullmatch(job_id):
             return Reply(400, {'error': 'a job id has 16 hexadecimal digits'})
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -83,7 +83,7 @@
         return self._held
 
     @property
-    def seen_row(self) -> TermRow:
+    def lease_row(self) -> TermRow:
         """Return the lease row as last read or written."""
         return self._seen_row
 
