--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -68,7 +68,7 @@
         self._started_s = clock.read_monotonic_s()
         self._version_since_s = self._started_s
         self._next_term_s = USUAL_TERM_S
-        self._seen_row = TermRow('', 0)
+        self._lease_row = TermRow('', 0)
         self._renewal_sent_s: float | None = None
         self._held_term_s = USUAL_TERM_S
         self._held: HeldTerm | None = None
@@ -85,7 +85,7 @@
     @property
     def lease_row(self) -> TermRow:
         """Return the lease row as last read or written."""
-        return self._seen_row
+        return self._lease_row
 
     def is_valid(self) -> bool:
         """Return whether this node holds the term at this moment and may send orders."""
@@ -131,7 +131,7 @@
         row = TermRow(
             self._node,
             epoch,
-            self._seen_row.renewal + 1,
+            self._lease_row.renewal + 1,
             released=True,
             started_ms=self._compute_start_ms(),
         )
@@ -142,7 +142,7 @@
             for stored in error.rows:
                 self._apply_row(stored)
             log.info('term %d: release conflicted with another write of the lease row', epoch)
-            return self._seen_row.holder != self._node or self._seen_row.epoch != epoch
+            return self._lease_row.holder != self._node or self._lease_row.epoch != epoch
         except StoreUnavailableError as error:
             log.info('term %d: release not confirmed, the term may have to lapse: %s', epoch, error)
         return True
@@ -159,7 +159,7 @@
 
     def _compute_take_delay_s(self) -> float:
         delay_s = self._take_delay_s + self._random.uniform(0, TAKE_JITTER_S)
-        row = self._seen_row
+        row = self._lease_row
         if row.released and row.started_ms:
             later_s = (self._compute_start_ms() - row.started_ms) / MS_PER_S
             delay_s += find_release_delay_s(later_s)
@@ -172,7 +172,7 @@
 
     def _make_sighting(self) -> LeaseSighting:
         now_s = self._clock.read_monotonic_s()
-        row = self._seen_row
+        row = self._lease_row
         store_time = self._rows.store_time
         age_s = None
         if row.renewed_ms and store_time is not None:
@@ -190,8 +190,8 @@
         store_time = self._rows.store_time
         row = TermRow(
             self._node,
-            self._seen_row.epoch + int(step is TermStep.TAKE),
-            self._seen_row.renewal + 1,
+            self._lease_row.epoch + int(step is TermStep.TAKE),
+            self._lease_row.renewal + 1,
             term_s=self._next_term_s,
             renewed_ms=0 if store_time is None else store_time.find_latest_ms(sent_s),
             pending=self.published_pending,
@@ -228,7 +228,7 @@
         """
         for stored in rows:
             self._apply_row(stored)
-        seen = self._seen_row
+        seen = self._lease_row
         if self._held is None:
             return
         if seen.holder != self._node or seen.released or seen.epoch != self._held.epoch:
@@ -236,7 +236,7 @@
 
     def _apply_commit(self, row: TermRow, version: int, sent_s: float, step: TermStep) -> None:
         now_s = self._clock.read_monotonic_s()
-        self._seen_row = row
+        self._lease_row = row
         self._version = version
         self._version_since_s = now_s
         if step is TermStep.TAKE and not self._stopping:
@@ -256,7 +256,7 @@
         if stored.version != self._version:
             self._version = stored.version
             self._version_since_s = self._clock.read_monotonic_s()
-        self._seen_row = self._read_term(stored)
+        self._lease_row = self._read_term(stored)
 
     def _read_term(self, stored: StoredRow) -> TermRow:
         """Return the row; an unreadable one counts as a term of full length of an unknown holder.
@@ -274,10 +274,10 @@
                 stored.version,
                 error,
             )
-            return TermRow('', self._seen_row.epoch, term_s=SLOW_STORE_TERM_S)
+            return TermRow('', self._lease_row.epoch, term_s=SLOW_STORE_TERM_S)
 
     def _drop_term(self, reason: str) -> None:
-        log.info('term %d: no longer held by this node: %s', self._seen_row.epoch, reason)
+        log.info('term %d: no longer held by this node: %s', self._lease_row.epoch, reason)
         self._held = None
         self._renewal_sent_s = None
         self._notify_change()
