--- a/comfreywind/scheduling/progress_journal.py
+++ b/comfreywind/scheduling/progress_journal.py
@@ -37,7 +37,7 @@
         """Have the changed jobs stored soon."""
         self._wake.set()
 
-    async def wait_stored(self, limit_s: float) -> None:
+    async def wait_until_stored(self, limit_s: float) -> None:
         """Return after the next successful write, or after `limit_s` at the latest."""
         with trio.move_on_after(limit_s):
             await self._stored.wait()
--- a/comfreywind/scheduling/target_link.py
+++ b/comfreywind/scheduling/target_link.py
@@ -235,7 +235,7 @@
             return
         self._silent_retry_s = SILENT_RETRY_INTERVAL_S
         if record.applied_number > record.stored_number:
-            await self._journal.wait_stored(MAX_STORE_WAIT_S)
+            await self._journal.wait_until_stored(MAX_STORE_WAIT_S)
             return
         if record.runs:
             return
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -55,7 +55,7 @@
     def wake(self) -> None:
         """Do nothing."""
 
-    async def wait_stored(self, limit_s: float) -> None:
+    async def wait_until_stored(self, limit_s: float) -> None:
         """Return after 10 ms."""
         await trio.sleep(0.01)
 
