--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -217,7 +217,7 @@
     assert not harness.plan()
 
 
-def test_failing_target_is_barred() -> None:
+def test_failing_target_gets_cooldown() -> None:
     """A target that fails every task would use up the attempts of many jobs, so it is excluded."""
     harness = SchedulerHarness(targets=1)
     harness.add_job(make_job(Step(6, Resources(1000, 100))))
@@ -414,7 +414,7 @@
     assert not list_stops(harness.report('t0', active=active, percents=percents))
 
 
-def test_barred_target_is_probed() -> None:
+def test_target_is_probed_after_cooldown() -> None:
     """A failing target is tried with one run after its cooldown, not with many at once."""
     harness = SchedulerHarness(targets=1)
     harness.add_job(make_job(Step(6, Resources(100, 10))))
@@ -427,7 +427,7 @@
 
 
 def test_gang_that_does_not_fit_blocks_nobody() -> None:
-    """A gang that does not fit must not keep jobs with smaller requests from starting."""
+    """A gang that does not fit must not block a job whose tasks have the same size."""
     harness = SchedulerHarness(targets=1, cpu=2000)
     harness.add_job(make_job(GANG))
     harness.add_job(make_job(Step(2, Resources(1000, 100)), job_id='00000000000000b1'))
