--- a/comfreywind/node/run.py
+++ b/comfreywind/node/run.py
@@ -135,7 +135,7 @@
                 await self._hold_term(term, holder)
             except Exception:
                 # A new Holder in the same term would assign the same run ids again.
-                self._keeper.depose('unexpected error')
+                self._keeper.step_down('unexpected error')
                 raise
 
     async def _hold_term(self, term: HeldTerm, holder: Holder) -> None:
--- a/comfreywind/scheduling/advice_keeper.py
+++ b/comfreywind/scheduling/advice_keeper.py
@@ -31,7 +31,7 @@
     async def run(self) -> None:
         """Ask until cancelled."""
         while True:
-            question = self._planner.find_question(self._clock.read_monotonic_s())
+            question = self._planner.select_question(self._clock.read_monotonic_s())
             if question is None:
                 await trio.sleep(IDLE_S)
                 continue
@@ -44,6 +44,6 @@
                 log.info('%s', error)
                 await trio.sleep(RETRY_S)
                 continue
-            self._planner.note_advice(question, tickets, asked_s)
+            self._planner.record_advice(question, tickets, asked_s)
             log.info('step %s: %d targets approved', question.step_id, len(tickets))
             self._wake()
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -9,9 +9,9 @@
 from comfreywind.decisions.scheduling.surge import SurgeMemory
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.resources import Resources
-from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.pool_work import PoolWork, find_mean_size, group_by_pool
+from comfreywind.scheduling.scheduler_state import SchedulerState
 
 # Between two loads that are reconstructed; a turn of demand takes seconds.
 RECALL_INTERVAL_MS = 200
@@ -21,23 +21,23 @@
 class DemandWatch:
     """Follows the demand for all pools; times in seconds are on the holder's steady clock."""
 
-    def __init__(self, board: Board, policy: PoolPolicy) -> None:
+    def __init__(self, scheduler_state: SchedulerState, policy: PoolPolicy) -> None:
         """Watch the jobs of the board; those that are there already belong to `recall`."""
-        self._board = board
+        self._state = scheduler_state
         self._policy = policy
         self._surges: dict[str, SurgeMemory] = {}
         self._trends: dict[str, DemandTrend] = {}
-        self._seen_jobs_count = board.added_jobs_count
+        self._seen_jobs_count = scheduler_state.added_jobs_count
 
     def recall(self, now_s: float, now_ms: float) -> None:
         """Learn from the jobs on the board which turns of demand earlier holders have met."""
         from_ms = now_ms - self._policy.surge_memory_s * MS_PER_S
         pasts: dict[str, list[PastWork]] = {}
-        for record in self._board.jobs.values():
+        for record in self._state.jobs.values():
             if record.job.accepted_ms >= from_ms:
-                past = pasts.setdefault(self._board.find_pool(record), [])
+                past = pasts.setdefault(self._state.get_pool(record), [])
                 past.extend(list_past_work(record.job))
-        sizes = self._find_vm_sizes(group_by_pool(self._board), pasts)
+        sizes = self._find_vm_sizes(group_by_pool(self._state), pasts)
         for pool, works in pasts.items():
             size = sizes[pool]
             surges = self._find_surges(pool)
@@ -48,13 +48,13 @@
 
     def note_jobs(self, works: Mapping[str, PoolWork], now_s: float) -> None:
         """Take in the jobs that have come since the last look, with the pools as they are now."""
-        jobs = self._board.jobs
-        added_count = self._board.added_jobs_count
+        jobs = self._state.jobs
+        added_count = self._state.added_jobs_count
         new = list(islice(reversed(jobs.values()), added_count - self._seen_jobs_count))
         self._seen_jobs_count = added_count
         records_by_pool: dict[str, list[JobRecord]] = {pool: [] for pool in self._trends}
         for record in new:
-            records_by_pool.setdefault(self._board.find_pool(record), []).append(record)
+            records_by_pool.setdefault(self._state.get_pool(record), []).append(record)
         sizes = self._find_vm_sizes(works, records_by_pool)
         for pool, records in records_by_pool.items():
             size = sizes[pool]
@@ -78,7 +78,7 @@
         self, works: Mapping[str, PoolWork], pools: Iterable[str]
     ) -> dict[str, Resources]:
         """Return the mean size of the VMs of each pool, or of all VMs if the pool has none."""
-        usual = find_mean_size(list(self._board.targets.values()))
+        usual = find_mean_size(list(self._state.targets.values()))
         sizes: dict[str, Resources] = {}
         for pool in pools:
             work = works.get(pool)
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -30,7 +30,6 @@
 from comfreywind.platform.vm_client import VmClient
 from comfreywind.platform.wire import TABLE_SERVERS
 from comfreywind.scheduling.advice_keeper import AdviceKeeper
-from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.job_retention import RETENTION_MARGIN_S, JobRetention
 from comfreywind.scheduling.order_turns import OrderTurns
 from comfreywind.scheduling.orders import Order
@@ -38,11 +37,12 @@
 from comfreywind.scheduling.pool_keeper import PoolKeeper
 from comfreywind.scheduling.pool_sizer import PoolSizer
 from comfreywind.scheduling.progress_journal import ProgressJournal
-from comfreywind.scheduling.roster import Roster
+from comfreywind.scheduling.reconciliation import Reconciliation
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.scheduling.rules_follower import RulesFollower
-from comfreywind.scheduling.settlement import Settlement
-from comfreywind.scheduling.target_link import LONGEST_WAIT_S, TargetLink
+from comfreywind.scheduling.scheduler_state import SchedulerState
+from comfreywind.scheduling.target_link import MAX_HOLD_WAIT_S, TargetLink
+from comfreywind.scheduling.target_registry import TargetRegistry
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
 from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
@@ -50,13 +50,16 @@
 from comfreywind.settings.node import NodeSettings
 from comfreywind.supervision import supervise
 
-# Changes that come within this time are planned together.
-GATHER_S = 0.004
-# Planning takes at most a third of the processor, the rest is for orders and reports.
+# Changes that come within this time share one plan.
+BATCH_WINDOW_S = 0.004
+# After a plan, the planner pauses for this many times the plan's duration. So planning takes at
+# most a third of the processor time, and the rest is left for orders and reports.
 PLAN_PAUSE_RATIO = 2
-TICK_S = 0.1
+# The planner also runs at this interval, because cooldowns end and occurrences become due without
+# an event.
+TICK_INTERVAL_S = 0.1
 RETRY_S = 0.2
-# The users fetch metrics every 5 s.
+# Well below the 5 s at which the users fetch metrics.
 LEVELS_INTERVAL_S = 1.0
 MS_PER_S = 1000
 
@@ -64,7 +67,7 @@
 
 
 class Holder:
-    """The work of one term."""
+    """Schedules the jobs of all pools during one term."""
 
     def __init__(
         self,
@@ -76,7 +79,7 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        """Prepare the term; nothing is read or ordered yet."""
+        """Create the components of the term; nothing is read or ordered before `run`."""
         self._metrics = metrics
         self._term = term
         self._settings = settings
@@ -84,70 +87,73 @@
         self._rules = rules
         self._keeper = keeper
         self._clock = clock
-        self.board = Board(term.epoch)
-        self._planner = Planner(self.board, metrics=metrics)
-        self.journal = ProgressJournal(rows, self.board)
+        self.scheduler_state = SchedulerState(term.epoch)
+        self._planner = Planner(self.scheduler_state, metrics=metrics)
+        self.journal = ProgressJournal(rows, self.scheduler_state)
         self._turns = OrderTurns(rows, term, settings.timings.order_turn_s, clock)
         self._links: dict[str, TargetLink] = {}
         self._nursery: trio.Nursery | None = None
         self._wake = trio.Event()
-        self._old_progress: dict[str, tuple[Progress, int]] = {}
+        self._stored_progress: dict[str, tuple[Progress, int]] = {}
         self._progress_loaded = trio.Event()
-        self._unreadable_jobs: set[str] = set()
-        self._roster = Roster(rows, self.board, clock, self._wake_planner, self._may_order)
-        self._settlement = Settlement(
-            term, rows, self.board, self.journal, self._roster, clock, self._is_dead
+        self._unreadable_progress_ids: set[str] = set()
+        self._registry = TargetRegistry(
+            rows, self.scheduler_state, clock, self._wake_planner, self._may_order
+        )
+        self._reconciliation = Reconciliation(
+            term, rows, self.scheduler_state, self.journal, self._registry, clock, self._is_gone
         )
         self._watch: VmWatch | None = None
         self._retention = JobRetention(
             rows,
-            self.board,
+            self.scheduler_state,
             settings.timings.status_retention_s + RETENTION_MARGIN_S,
             clock,
             self._may_order,
         )
 
     async def run(self) -> None:
-        """Load the state, adopt what runs, then plan until cancelled."""
+        """Load the stored state, adopt existing runs, then plan until cancelled."""
         intake = RowFeed(
             self._rows,
             TABLE_INTAKE,
             (*INTAKE_PARTITIONS, *PROGRESS_PARTITIONS),
-            self._take_intake,
+            self._handle_intake_row,
             self._clock,
-            after=self._progress_loaded,
+            deliver_after=self._progress_loaded,
             metrics=self._metrics,
         )
         targets = RowFeed(
             self._rows,
             TABLE_SERVERS,
             ('',),
-            self._take_target,
+            self._handle_target_row,
             self._clock,
-            self._note_listed,
-            # A run of a job that is not known would be stopped.
-            after=intake.loaded,
+            self._mark_unlisted_targets,
+            # Targets report runs, and a run of a job that is not loaded yet would be stopped.
+            deliver_after=intake.loaded,
             metrics=self._metrics,
         )
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            # All is read at the same time, as a slow store takes up to a second for an answer.
+            # All tables are read at the same time, because a slow store takes up to a second for
+            # each answer.
             nursery.start_soon(self._load)
             self._start('journal', self.journal.run)
             self._start('intake feed', intake.run)
             self._start('targets feed', targets.run)
             await targets.loaded.wait()
             log.info(
-                'term %d: %d jobs, %d targets',
+                'term %d: state loaded with %d jobs and %d targets, scheduling starts',
                 self._term.epoch,
-                len(self.board.jobs),
-                len(self.board.targets),
+                len(self.scheduler_state.jobs),
+                len(self.scheduler_state.targets),
             )
             self._start('tick', self._tick)
-            self._start('levels', self._note_levels)
-            self._start('roster', self._roster.run)
+            self._start('levels', self._report_levels)
+            self._start('roster', self._registry.run)
             self._start('retention', self._retention.run)
-            self._start('settling', partial(self._settlement.run, self._wake_planner))
+            self._start('settling', partial(self._reconciliation.run, self._wake_planner))
             if self._settings.advice_address is not None:
                 client = AdviceClient(self._settings.advice_address)
                 advice = AdviceKeeper(client, self._planner, self._clock, self._wake_planner)
@@ -156,13 +162,13 @@
                 self._start_vm_tasks(self._settings.vm_service_address)
             await supervise('planner', self._plan_forever, self._metrics)
 
-    def publish(self, orders: list[Order]) -> None:
-        """Send orders and plan again soon."""
+    def submit_orders(self, orders: list[Order]) -> None:
+        """Send orders to their targets and have the planner run soon."""
         self._wake.set()
         self._send(orders)
 
     def _may_order(self) -> bool:
-        """Return whether orders of this term may be sent at this moment."""
+        """Return whether this holder may send orders at this moment."""
         return self._keeper.held is self._term and self._keeper.is_valid()
 
     def _may_order_vm(self, vm: str) -> bool:
@@ -184,54 +190,58 @@
             try:
                 await self._read_state()
             except StoreUnavailableError as error:
-                log.info('term %d: state not read yet: %s', self._term.epoch, error)
+                log.info('term %d: state not read, trying again: %s', self._term.epoch, error)
                 await trio.sleep(RETRY_S)
             else:
                 self._progress_loaded.set()
                 return
 
     async def _read_state(self) -> None:
-        await run_concurrently((self._read_progress, self._roster.load, self._turns.load))
+        await run_concurrently((self._read_progress, self._registry.load, self._turns.load))
 
     async def _read_progress(self) -> None:
         for page in await self._rows.read_partitions(TABLE_PROGRESS, PROGRESS_PARTITIONS):
             for row in page.rows:
-                self._note_old_progress(row)
+                self._keep_stored_progress(row)
 
-    def _note_old_progress(self, row: StoredRow) -> None:
+    def _keep_stored_progress(self, row: StoredRow) -> None:
         if row.payload is None:
             return
         try:
-            self._old_progress[row.key] = (decode_progress(row.payload), row.version)
+            self._stored_progress[row.key] = (decode_progress(row.payload), row.version)
         except RowFormatError as error:
-            # What the job has done is not known, so none of its tasks may start.
-            self._unreadable_jobs.add(row.key)
-            log.warning('job %s is not scheduled: %s', row.key, error)
+            # It is unknown which tasks of the job are done, so none of them may start.
+            self._unreadable_progress_ids.add(row.key)
+            log.warning(
+                'job %s: unreadable progress row, its tasks are not started: %s', row.key, error
+            )
 
     def _start_vm_tasks(self, address: Address) -> None:
         client = VmClient(address, self._may_order_vm)
-        self._watch = VmWatch(client, self.board, self._clock)
-        upkeep = self._make_upkeep(client, self._watch)
-        pools = self._make_pools(client, self._watch)
+        self._watch = VmWatch(client, self.scheduler_state, self._clock)
+        upkeep = self._make_maintenance_keeper(client, self._watch)
+        pools = self._make_pool_keeper(client, self._watch)
         self._start('upkeep', upkeep.run)
         self._start('pools', pools.run)
-        needed = partial(self._needs_list, upkeep, pools)
+        needed = partial(self._needs_vm_list, upkeep, pools)
         self._start('VM list', partial(self._watch.run, needed, self._wake_planner))
 
-    def _is_dead(self, target_id: str) -> bool:
-        """Return whether the list of VMs shows that the target's life is over."""
+    def _is_gone(self, target_id: str) -> bool:
+        """Return whether the VM list shows that this incarnation of the target has ended."""
         return self._watch is not None and self._watch.is_dead(target_id, self._term.taken_s)
 
-    def _needs_list(self, upkeep: UpkeepKeeper, pools: PoolKeeper) -> bool:
-        return upkeep.is_busy() or pools.is_busy() or self._has_doubt()
+    def _needs_vm_list(self, upkeep: UpkeepKeeper, pools: PoolKeeper) -> bool:
+        return upkeep.is_busy() or pools.is_busy() or self._has_unconfirmed_runs()
 
-    def _has_doubt(self) -> bool:
-        """Return whether the list of VMs could tell that runs have ended with their VM."""
-        if not self._settlement.done:
+    def _has_unconfirmed_runs(self) -> bool:
+        """Return whether the VM list could show that runs have ended with their VM."""
+        if not self._reconciliation.done:
             return True
-        return any(record.silent and record.runs for record in self.board.targets.values())
+        return any(
+            record.silent and record.runs for record in self.scheduler_state.targets.values()
+        )
 
-    def _make_pools(self, client: VmClient, watch: VmWatch) -> PoolKeeper:
+    def _make_pool_keeper(self, client: VmClient, watch: VmWatch) -> PoolKeeper:
         return PoolKeeper(
             self._term,
             self._settings.name,
@@ -240,14 +250,14 @@
             watch,
             self._rules,
             self._keeper,
-            PoolSizer(self.board, USUAL_POLICY, self._turns.is_open),
+            PoolSizer(self.scheduler_state, USUAL_POLICY, self._turns.is_open),
             self._clock,
         )
 
     def _wake_planner(self) -> None:
         self._wake.set()
 
-    def _make_upkeep(self, client: VmClient, watch: VmWatch) -> UpkeepKeeper:
+    def _make_maintenance_keeper(self, client: VmClient, watch: VmWatch) -> UpkeepKeeper:
         return UpkeepKeeper(
             self._term,
             self._settings.name,
@@ -257,76 +267,78 @@
             watch,
             self._rules,
             self._keeper,
-            self.board,
+            self.scheduler_state,
             self._clock,
-            self.publish,
+            self.submit_orders,
         )
 
-    # Jobs
+    # Rows of jobs
 
-    def _take_intake(self, row: StoredRow) -> None:
+    def _handle_intake_row(self, row: StoredRow) -> None:
         if row.payload is None:
-            self._retention.note_removed(row.key)
+            self._retention.record_removed(row.key)
             return
         if row.key.endswith(CANCEL_SUFFIX):
-            self.board.cancel_job(row.key.removesuffix(CANCEL_SUFFIX))
+            self.scheduler_state.cancel_job(row.key.removesuffix(CANCEL_SUFFIX))
             self._wake.set()
             return
         try:
             accepted = decode_intake_row(row.payload)
         except RowFormatError as error:
-            log.warning('job %s is not read: %s', row.key, error)
+            log.warning('job %s: unreadable accepted row, the job is ignored: %s', row.key, error)
             return
-        if row.key in self._unreadable_jobs:
+        if row.key in self._unreadable_progress_ids:
             return
         # A job has no progress row before its first change.
-        progress, version = self._old_progress.pop(row.key, (Progress(), 0))
+        progress, version = self._stored_progress.pop(row.key, (Progress(), 0))
         if isinstance(accepted, EndedJob):
-            self._retention.note_ended(row.key, row.version, version)
+            self._retention.record_tombstone(row.key, row.version, version)
             return
-        new = row.version > self._term.taken_version
-        self._retention.note_accepted(row.key, row.version)
-        self.board.add_job(accepted, progress, version, settled=new or self._settlement.done)
+        is_new = row.version > self._term.taken_version
+        self._retention.record_accepted(row.key, row.version)
+        self.scheduler_state.add_job(
+            accepted, progress, version, reconciled=is_new or self._reconciliation.done
+        )
         self._wake.set()
 
-    # Targets
+    # Rows of targets and their links
 
-    def _note_listed(self, rows: tuple[StoredRow, ...]) -> None:
+    def _mark_unlisted_targets(self, rows: tuple[StoredRow, ...]) -> None:
         listed = {row.key for row in rows}
-        for target_id, record in self.board.targets.items():
+        for target_id, record in self.scheduler_state.targets.items():
             if target_id not in listed:
                 record.leaving = True
 
-    def _take_target(self, row: StoredRow) -> None:
-        record = self.board.targets.get(row.key)
+    def _handle_target_row(self, row: StoredRow) -> None:
+        record = self.scheduler_state.targets.get(row.key)
         if row.payload is None:
             if record is not None:
-                log.info('target %s: its entry is gone', row.key)
+                log.info('target %s: its entry was removed, it gets no new runs', row.key)
                 record.leaving = True
             return
         entry = decode_target(row.key, row.payload)
         if entry is None:
             return
         if record is None or record.entry != entry or record.leaving:
-            record = self.board.set_target(entry, self._clock.read_monotonic_s())
+            record = self.scheduler_state.register_target(entry, self._clock.read_monotonic_s())
             record.leaving = False
             self._wake.set()
         if row.key not in self._links:
             self._start_link(row.key)
 
     def _start_link(self, target_id: str) -> None:
-        record = self.board.targets[target_id]
+        record = self.scheduler_state.targets[target_id]
         if self._nursery is None:
             return
         link = TargetLink(
             record,
-            TargetClient(target_id, record.entry.address, LONGEST_WAIT_S, self._may_order),
-            self.board,
+            TargetClient(target_id, record.entry.address, MAX_HOLD_WAIT_S, self._may_order),
+            self.scheduler_state,
             self.journal,
             self._keeper,
             self._clock,
             self._settings.timings.lease_limit_s,
-            self.publish,
+            self.submit_orders,
             self._metrics,
         )
         self._links[target_id] = link
@@ -335,54 +347,55 @@
     async def _run_link(self, target_id: str, link: TargetLink) -> None:
         await link.run()
         del self._links[target_id]
-        record = self.board.targets.get(target_id)
+        record = self.scheduler_state.targets.get(target_id)
         if record is not None and record.leaving and not record.runs:
-            del self.board.targets[target_id]
+            del self.scheduler_state.targets[target_id]
 
-    # Planning
+    # Planning and metrics
 
     async def _tick(self) -> None:
         while True:
-            await trio.sleep(TICK_S)
-            self._keeper.own_pending = self.board.count_pending()
+            await trio.sleep(TICK_INTERVAL_S)
+            self._keeper.published_pending = self.scheduler_state.count_pending()
             self._wake.set()
 
-    async def _note_levels(self) -> None:
+    async def _report_levels(self) -> None:
         while True:
             await trio.sleep(LEVELS_INTERVAL_S)
             self._set_levels()
 
     def _set_levels(self) -> None:
-        targets = self.board.targets.values()
-        self._metrics.set_level('jobs.open', len(self.board.open_jobs))
-        self._metrics.set_level('jobs.kept', len(self.board.jobs))
+        targets = self.scheduler_state.targets.values()
+        self._metrics.set_level('jobs.open', len(self.scheduler_state.open_jobs))
+        self._metrics.set_level('jobs.kept', len(self.scheduler_state.jobs))
         self._metrics.set_level(
-            'tasks.waiting', sum(len(record.waiting) for record in self.board.open_jobs.values())
+            'tasks.waiting',
+            sum(len(record.waiting) for record in self.scheduler_state.open_jobs.values()),
         )
         self._metrics.set_level('runs', sum(len(target.runs) for target in targets))
         self._metrics.set_level('targets', len(targets))
         self._metrics.set_level('targets.silent', sum(target.silent for target in targets))
 
     async def _plan_forever(self) -> None:
-        pause_s = GATHER_S
+        pause_s = BATCH_WINDOW_S
         while True:
             await self._wake.wait()
             await trio.sleep(pause_s)
             self._wake = trio.Event()
             started_s = trio.current_time()
-            self._roster.update()
+            self._registry.update()
             if self._keeper.is_valid():
                 self._plan()
                 self._metrics.record_duration('plan', trio.current_time() - started_s)
-            pause_s = max(GATHER_S, PLAN_PAUSE_RATIO * (trio.current_time() - started_s))
+            pause_s = max(BATCH_WINDOW_S, PLAN_PAUSE_RATIO * (trio.current_time() - started_s))
 
     def _plan(self) -> None:
         now_s = self._clock.read_monotonic_s()
         now_ms = self._clock.read_utc().timestamp() * MS_PER_S
         if self._rules.rules is not None:
-            self.board.rules = self._rules.rules
-        self._send(self.board.stop_closed_jobs(now_s))
-        self._send(self.board.stop_broken_gangs(now_s))
+            self.scheduler_state.rules = self._rules.rules
+        self._send(self.scheduler_state.stop_closed_jobs(now_s))
+        self._send(self.scheduler_state.stop_broken_gangs(now_s))
         self._send(self._planner.plan(now_s, now_ms))
-        if self.board.changed_jobs:
+        if self.scheduler_state.changed_jobs:
             self.journal.wake()
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -13,9 +13,9 @@
 )
 from comfreywind.jobs.pool import Pool
 from comfreywind.jobs.vm import Vm
-from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.demand_watch import DemandWatch
 from comfreywind.scheduling.pool_work import PoolWork, group_by_pool
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.scheduling.vm_order import VmOrder
 
 # An order without an answer may still be carried out for so long.
@@ -36,16 +36,19 @@
     """Owns the moves that are under way; it has no sockets and no clock of its own."""
 
     def __init__(
-        self, board: Board, policy: PoolPolicy, is_open: Callable[[str], bool] = _always_open
+        self,
+        scheduler_state: SchedulerState,
+        policy: PoolPolicy,
+        is_open: Callable[[str], bool] = _always_open,
     ) -> None:
         """Size the pools of the board's targets; `is_open` tells which VMs may be ordered now."""
         self._is_open = is_open
-        self._board = board
+        self._state = scheduler_state
         self._policy = policy
         self._orders: dict[str, VmOrder] = {}
         self._destinations: dict[str, str] = {}
         self._surplus_since_s: dict[str, float] = {}
-        self._demand = DemandWatch(board, policy)
+        self._demand = DemandWatch(scheduler_state, policy)
         self._move_s = USUAL_MOVE_S
 
     def recall(self, now_s: float, now_ms: float) -> None:
@@ -71,7 +74,7 @@
 
     def begin(self, vm: Vm, pool: str, now_s: float) -> bool:
         """Note that the move is about to be ordered; return False when the VM has work now."""
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is not None and record.runs:
             return False
         if record is not None:
@@ -107,12 +110,12 @@
         del self._destinations[name]
 
     def _release(self, target_id: str) -> None:
-        record = self._board.targets.get(target_id)
+        record = self._state.targets.get(target_id)
         if record is not None:
-            self._board.take_back_order(record)
+            self._state.revert_vm_order(record)
 
     def _group_by_pool(self, vms: Mapping[str, Vm]) -> dict[str, PoolWork]:
-        works = group_by_pool(self._board)
+        works = group_by_pool(self._state)
         for vm in vms.values():
             works.setdefault(vm.pool, PoolWork()).vms.append(vm)
         for pool in self._destinations.values():
@@ -143,7 +146,7 @@
     def _is_idle(self, vm: Vm, standby: bool) -> bool:
         if not vm.up or vm.name in self._orders or not self._is_open(vm.name):
             return False
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is None:
             return standby
         # What runs on a target that has not answered this holder is not known.
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -24,11 +24,11 @@
 from comfreywind.platform.vm_client import VmClient, VmOrderAnswer
 from comfreywind.platform.wave_codec import encode_wave_state
 from comfreywind.platform.wire import PREFIX_WAVE, TABLE_STATUS
-from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.order_turns import OrderTurns
 from comfreywind.scheduling.orders import Order
 from comfreywind.scheduling.rules_follower import RulesFollower
-from comfreywind.scheduling.target_link import UNSEEN_LAPSE_S
+from comfreywind.scheduling.scheduler_state import SchedulerState
+from comfreywind.scheduling.target_link import EARLIER_RUNS_LAPSE_S
 from comfreywind.scheduling.target_record import TargetRecord
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
 from comfreywind.scheduling.upkeep_row import UPKEEP_KEY, decode_upkeep, encode_upkeep
@@ -60,7 +60,7 @@
         watch: VmWatch,
         rules: RulesFollower,
         keeper: TermKeeper,
-        board: Board,
+        scheduler_state: SchedulerState,
         clock: Clock,
         publish: Callable[[list[Order]], None],
     ) -> None:
@@ -73,7 +73,7 @@
         self._watch = watch
         self._rules = rules
         self._keeper = keeper
-        self._board = board
+        self._state = scheduler_state
         self._clock = clock
         self._publish = publish
         self._orders: dict[int, dict[str, VmOrder]] = {}
@@ -142,7 +142,7 @@
 
     def _mark_due(self, due: list[Vm]) -> None:
         for vm in due:
-            record = self._board.targets.get(vm.target_id)
+            record = self._state.targets.get(vm.target_id)
             if record is not None:
                 record.due = True
 
@@ -168,18 +168,18 @@
         return order.confirmed_s is not None and now_s - order.confirmed_s > ALREADY_DONE_S
 
     def _drop_target(self, target_id: str, now_s: float) -> None:
-        record = self._board.targets.get(target_id)
+        record = self._state.targets.get(target_id)
         if record is not None and record.runs:
-            self._board.drop_runs(record, now_s)
+            self._state.requeue_runs(record, now_s)
             self._publish([])
         if record is not None:
             record.leaving = True
 
     def _keep_working(self, target_id: str) -> None:
-        record = self._board.targets.get(target_id)
+        record = self._state.targets.get(target_id)
         if record is not None:
             record.due = False
-            self._board.take_back_order(record)
+            self._state.revert_vm_order(record)
         self._emptying_since_s.pop(target_id, None)
 
     async def _empty_and_order(
@@ -192,7 +192,7 @@
         room = max(0, wave.limit - len(orders.keys() | others))
         for chosen in choose_emptying(standings, self._count_pools(), room):
             self._start_emptying(self._watch.vms[chosen.name], now_s)
-        left_s = self._rules.find_wave_end_s(wave.wave) - now_s
+        left_s = self._rules.get_wave_end_s(wave.wave) - now_s
         repeated = [
             order.vm
             for order in orders.values()
@@ -245,21 +245,21 @@
         return sizes
 
     def _evict(self, vm: Vm, now_s: float) -> None:
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is not None and self._keeper.is_valid():
-            self._publish(self._board.evict_crowded(record, now_s))
+            self._publish(self._state.evict_colocated(record, now_s))
 
     def _start_emptying(self, vm: Vm, now_s: float) -> None:
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is not None:
             record.emptying = True
         self._emptying_since_s[vm.target_id] = now_s
 
     def _describe(self, vm: Vm, now_s: float, due_targets: Collection[str] = NO_TARGETS) -> WaveVm:
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         since_s = self._emptying_since_s.get(vm.target_id)
-        work = 0 if record is None else self._board.count_short_runs(record)
-        health = [] if record is None else self._board.list_step_health(record)
+        work = 0 if record is None else self._state.count_short_runs(record)
+        health = [] if record is None else self._state.list_step_health(record)
         return WaveVm(
             name=vm.name,
             pool=vm.pool,
@@ -276,15 +276,15 @@
         """Return whether the target may have runs of an earlier holder that are not known here."""
         if record is None or record.reported:
             return False
-        return now_s - self._term.taken_s < UNSEEN_LAPSE_S
+        return now_s - self._term.taken_s < EARLIER_RUNS_LAPSE_S
 
     async def _order(self, wave: MaintenanceWave, vm: Vm, orders: dict[str, VmOrder]) -> None:
         if not (self._keeper.is_valid() and self._turns.may_send(vm.name)):
             return
         now_s = self._clock.read_monotonic_s()
-        record = self._board.targets.get(vm.target_id)
+        record = self._state.targets.get(vm.target_id)
         if record is not None:
-            self._board.note_order(record)
+            self._state.apply_vm_order(record)
         order = orders.setdefault(vm.name, VmOrder(vm.name, vm.target_id, now_s))
         order.sent_s = now_s
         answer = await self._vm_client.maintain(vm.name, wave.wave, self._node, self._term.epoch)
--- a/comfreywind/scheduling/vm_watch.py
+++ b/comfreywind/scheduling/vm_watch.py
@@ -9,7 +9,7 @@
 from comfreywind.errors import StoreUnavailableError
 from comfreywind.jobs.vm import Vm
 from comfreywind.platform.vm_client import VmClient
-from comfreywind.scheduling.board import Board
+from comfreywind.scheduling.scheduler_state import SchedulerState
 
 # Each reading is a call to the platform, so the list is read only while someone needs it.
 LIST_INTERVAL_S = 0.8
@@ -23,10 +23,10 @@
 class VmWatch:
     """Owns the list; `needed` says whether it has to be fresh."""
 
-    def __init__(self, client: VmClient, board: Board, clock: Clock) -> None:
+    def __init__(self, client: VmClient, scheduler_state: SchedulerState, clock: Clock) -> None:
         """Use the client of the VM service and the board of the term."""
         self._client = client
-        self._board = board
+        self._state = scheduler_state
         self._clock = clock
         self.vms: dict[str, Vm] = {}
         self.read_s = float('-inf')
@@ -84,11 +84,11 @@
     def _drop_dead(self) -> bool:
         living = self._find_living()
         dropped = False
-        for target_id, record in self._board.targets.items():
+        for target_id, record in self._state.targets.items():
             if target_id in living or not record.silent:
                 continue
             if record.runs:
                 log.info('target %s: its VM is down, %d runs lost', target_id, len(record.runs))
                 dropped = True
-            self._board.drop_runs(record, self._clock.read_monotonic_s())
+            self._state.requeue_runs(record, self._clock.read_monotonic_s())
         return dropped
--- a/tests/compatibility/test_kept_rows.py
+++ b/tests/compatibility/test_kept_rows.py
@@ -85,9 +85,9 @@
 from comfreywind.scheduling.order_turns import decode_ordered_vms, encode_ordered_vms
 from comfreywind.scheduling.term_row import (
     TermRow,
-    decode_roster,
+    decode_registry,
     decode_term,
-    encode_roster,
+    encode_registry,
     encode_term,
 )
 from comfreywind.scheduling.upkeep_row import UPKEEP_KEY, decode_upkeep, encode_upkeep
@@ -106,7 +106,7 @@
     'tombstone': (decode_intake_row, encode_tombstone),
     'progress': (decode_progress, encode_progress),
     'term': (decode_term, encode_term),
-    'roster': (decode_roster, encode_roster),
+    'roster': (decode_registry, encode_registry),
     'orders': (decode_ordered_vms, encode_ordered_vms),
     'upkeep': (decode_upkeep, encode_upkeep),
 }
--- a/tests/field_faults/test_lost_answer.py
+++ b/tests/field_faults/test_lost_answer.py
@@ -14,8 +14,8 @@
 from comfreywind.jobs.start_answer import StartAnswer
 from comfreywind.platform.stored_row import StoredRow
 from comfreywind.scheduling.orders import StartOrder, StopOrder
-from tests.helpers.board_rig import BoardRig, make_job
 from tests.helpers.manual_clock import ManualClock
+from tests.helpers.scheduler_harness import SchedulerHarness, make_job
 
 JOB = make_job()
 TAKEN = RowsChangedError((StoredRow('t', 'p', JOB.job_id, encode_job(JOB), 7),))
@@ -65,9 +65,9 @@
     assert raised.type is expected
 
 
-def start_without_answer() -> tuple[BoardRig, StartOrder]:
+def start_without_answer() -> tuple[SchedulerHarness, StartOrder]:
     """Return a scheduler state with a start order whose reply was lost, and the order."""
-    rig = BoardRig(targets=2)
+    rig = SchedulerHarness(targets=2)
     rig.add_job()
     (order,) = rig.plan()
     assert isinstance(order, StartOrder)
@@ -99,12 +99,12 @@
     (stop,) = rig.report(order.target_id)
     assert isinstance(stop, StopOrder)
     assert not rig.plan()
-    assert rig.board.note_stop(stop, False, rig.now_s) == [stop]
+    assert rig.scheduler_state.apply_stop_answer(stop, False, rig.now_s) == [stop]
     assert not rig.plan()
     rig.report(order.target_id, active=((order.key, order.run_id),))
     assert not rig.plan()
     rig.now_s += 1
-    rig.board.note_stop(stop, True, rig.now_s)
+    rig.scheduler_state.apply_stop_answer(stop, True, rig.now_s)
     assert not rig.plan()
     rig.now_s += 1
     rig.report(order.target_id)
--- a/tests/field_faults/test_malformed_message.py
+++ b/tests/field_faults/test_malformed_message.py
@@ -19,7 +19,7 @@
 from comfreywind.scheduling.orders import StartOrder
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.supervision import RESTART_PAUSE_S, supervise
-from tests.helpers.board_rig import JOB_ID, BoardRig, make_job
+from tests.helpers.scheduler_harness import JOB_ID, SchedulerHarness, make_job
 from tests.helpers.trio_clock import TrioClock
 
 OTHER_JOB_ID = '00000000000000a2'
@@ -53,7 +53,7 @@
 
     An IndexError or KeyError for such a run would end the holder.
     """
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     rig.report('t0', ended=((key, 1, outcome),))
     rig.report('t0', active=((key, 2),))
@@ -86,7 +86,7 @@
 
     An error of one job that ended the whole plan would keep all jobs from being started.
     """
-    rig = BoardRig()
+    rig = SchedulerHarness()
     rig.add_job()
     rig.add_job(make_job(job_id=OTHER_JOB_ID))
     find_run_id = rig.planner._find_run_id
--- a/tests/field_faults/test_silent_target.py
+++ b/tests/field_faults/test_silent_target.py
@@ -13,8 +13,8 @@
 from comfreywind.errors import TargetSilentError
 from comfreywind.jobs.run_report import ActiveRun, TargetReport
 from comfreywind.platform.target_client import HOLD_MARGIN_S
-from comfreywind.scheduling.target_link import LONGEST_WAIT_S
-from tests.helpers.board_rig import BoardRig
+from comfreywind.scheduling.target_link import MAX_HOLD_WAIT_S
+from tests.helpers.scheduler_harness import SchedulerHarness
 from tests.scheduling.test_target_link import make_link
 
 WATCH_S = 30
@@ -28,7 +28,9 @@
     its first to its second value, there are no replies.
     """
 
-    def __init__(self, rig: BoardRig, delay_s: float, silent_s: tuple[float, float]) -> None:
+    def __init__(
+        self, rig: SchedulerHarness, delay_s: float, silent_s: tuple[float, float]
+    ) -> None:
         """Start the run that the scheduler orders, with a lease of 5 s."""
         (self.order,) = rig.start()
         self._delay_s = delay_s
@@ -44,12 +46,12 @@
         self._update_lapsed()
         begin_s, end_s = self._silent_s
         if begin_s <= trio.current_time() - self._started_s < end_s:
-            await self._time_out_after(LONGEST_WAIT_S + HOLD_MARGIN_S)
+            await self._time_out_after(MAX_HOLD_WAIT_S + HOLD_MARGIN_S)
         reply_s = wait_ms / MS_PER_S + self._delay_s
         if expires_ms is not None and not self.lapsed:
             self.lease_end_s = max(self.lease_end_s, expires_ms / MS_PER_S)
-        if reply_s > LONGEST_WAIT_S + HOLD_MARGIN_S:
-            await self._time_out_after(LONGEST_WAIT_S + HOLD_MARGIN_S)
+        if reply_s > MAX_HOLD_WAIT_S + HOLD_MARGIN_S:
+            await self._time_out_after(MAX_HOLD_WAIT_S + HOLD_MARGIN_S)
         await trio.sleep(reply_s)
         self._update_lapsed()
         active = ActiveRun(self.order.key, self.order.run_id, '', 50, 0)
@@ -86,13 +88,13 @@
     If the lease were not extended in time, the target would end the run; if the run were given up
     too early, it would be started a second time elsewhere.
     """
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     target: Any = SlowTarget(rig, delay_s, silent_s)
     with trio.move_on_after(WATCH_S):
         await make_link(rig, target).run()
     assert not target.lapsed
-    run = rig.board.targets['t0'].runs.get(target.order.key)
+    run = rig.scheduler_state.targets['t0'].runs.get(target.order.key)
     assert run is not None
     assert run.run_id == target.order.run_id
     assert not rig.plan()
@@ -103,13 +105,13 @@
 
     Before that the target may still execute it, and a second run would execute the task twice.
     """
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     rig.add_job()
     target: Any = SlowTarget(rig, 0.01, (5, 1_000))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(make_link(rig, target).run)
         with trio.fail_after(WATCH_S):
-            while rig.board.targets['t0'].runs:
+            while rig.scheduler_state.targets['t0'].runs:
                 await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
     assert trio.current_time() > target.lease_end_s
--- a/tests/scheduling/test_demand_trend.py
+++ b/tests/scheduling/test_demand_trend.py
@@ -10,7 +10,7 @@
 from comfreywind.jobs.step import Step
 from comfreywind.scheduling.demand_watch import DemandWatch
 from comfreywind.scheduling.pool_work import group_by_pool
-from tests.helpers.board_rig import POOL, BoardRig, make_job
+from tests.helpers.scheduler_harness import POOL, SchedulerHarness, make_job
 
 INTERVAL_S = 0.2
 LEAD_S = 1.7
@@ -77,20 +77,20 @@
     Seen on the recorded days of prevoz-plan-large and villacres-quito-grown: turns rise for 2 to 3 s and a
     move takes 1.7 s, so half of the jobs of the first seconds were late.
     """
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     old = [f'ff{number:014x}' for number in range(10 * removed_each_look)]
     for job_id in old:
         rig.add_job(make_job(job_id=job_id))
-        rig.board.cancel_job(job_id)
-    watch = DemandWatch(rig.board, PoolPolicy(growth_limit=growth_limit))
+        rig.scheduler_state.cancel_job(job_id)
+    watch = DemandWatch(rig.scheduler_state, PoolPolicy(growth_limit=growth_limit))
     for look in range(10):
         # Five more jobs a second in each second, each of which fills a quarter of a VM for a second.
         for number in range(look + 1):
             job = make_job(Step(1, Resources(1000, 100)), job_id=f'{look:08x}{number:08x}')
             rig.add_job(job)
         for job_id in old[look * removed_each_look :][:removed_each_look]:
-            rig.board.drop_job(job_id)
-        watch.note_jobs(group_by_pool(rig.board), look * INTERVAL_S)
+            rig.scheduler_state.drop_job(job_id)
+        watch.note_jobs(group_by_pool(rig.scheduler_state), look * INTERVAL_S)
     load_vms = sum(range(6, 11)) / 4
     expected_vms = watch.expect_vms(POOL, load_vms, 9 * INTERVAL_S, LEAD_S)
     # The load is 10 VMs and will be 23 when VMs that are ordered now take work.
--- a/tests/scheduling/test_holder.py
+++ b/tests/scheduling/test_holder.py
@@ -1,4 +1,4 @@
-"""A holder that takes over from another one, over the stand-ins."""
+"""A holder that takes over from another one, in a fleet of stand-ins."""
 
 import base64
 from typing import Any
@@ -12,19 +12,19 @@
 from comfreywind.jobs.queue import Queue
 from comfreywind.jobs.tables import (
     HOLDER_PARTITION,
+    REGISTRY_KEY,
     TABLE_INTAKE,
     TABLE_PROGRESS,
     TABLE_TERM,
-    TARGET_REGISTRY_KEY,
     TERM_KEY,
     TERM_PARTITION,
     compute_intake_partition,
     compute_progress_partition,
 )
-from comfreywind.scheduling.term_row import TermRow, decode_term, encode_roster, encode_term
+from comfreywind.scheduling.term_row import TermRow, decode_term, encode_registry, encode_term
 from comfreywind.stand_ins.jobs.row_store import RowStore
 from comfreywind.stand_ins.jobs.target_app import JobTargetApp
-from tests.helpers.board_rig import JOB_ID, make_job
+from tests.helpers.scheduler_harness import JOB_ID, make_job
 
 
 def write_row(store: RowStore, table: str, part: str, key: str, payload: bytes) -> None:
@@ -33,7 +33,7 @@
 
 
 async def test_end_acknowledged_during_takeover() -> None:
-    """Guards against a task that runs again after its end was stored and acknowledged.
+    """A task must not run again after its end was stored and acknowledged during a takeover.
 
     Seen on prevoz-plan hunt-f022-11: the earlier holder stored and acknowledged an end after its
     successor had read the progress and before the successor's fence had reached the target.
@@ -52,11 +52,7 @@
         )
         write_row(store, TABLE_PROGRESS, part, JOB_ID, encode_progress(Progress()))
         write_row(
-            store,
-            TABLE_TERM,
-            HOLDER_PARTITION,
-            TARGET_REGISTRY_KEY,
-            encode_roster(frozenset(('i-0',))),
+            store, TABLE_TERM, HOLDER_PARTITION, REGISTRY_KEY, encode_registry(frozenset(('i-0',)))
         )
         released = TermRow('node-9', 7, released=True)
         write_row(store, TABLE_TERM, TERM_PARTITION, TERM_KEY, encode_term(released))
@@ -72,7 +68,7 @@
 
 
 async def wait_for_fence(target: JobTargetApp, fence: int, act: Any) -> None:
-    """Act at the moment when a holder's fence reaches the target."""
+    """Call `act` at the moment when a holder's fence reaches the target."""
     target.note_fence = lambda raised: act() if raised == fence else None
     with trio.fail_after(5):
         while target.fence < fence:
@@ -80,10 +76,10 @@
 
 
 async def test_takeover_with_slow_store() -> None:
-    """Guards against leases of running tasks that lapse while a successor reads the store.
+    """The leases of running tasks must not lapse while a successor reads from a slow store.
 
-    Seen on dewpa-sched trouble-2: sixteen readings one after the other took 3.6 s of a store that
-    answers 100 times slower, and tasks lapsed. Now three answers in a row have to be waited for.
+    Seen on dewpa-sched trouble-2: sixteen reads in sequence took 3.6 s with a store that answers
+    100 times slower, and tasks lapsed. Now only three answers have to be awaited in sequence.
     """
     delay_s = 0.5
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
@@ -93,11 +89,7 @@
             store, TABLE_INTAKE, compute_intake_partition(JOB_ID), JOB_ID, encode_job(make_job())
         )
         write_row(
-            store,
-            TABLE_TERM,
-            HOLDER_PARTITION,
-            TARGET_REGISTRY_KEY,
-            encode_roster(frozenset(('i-0',))),
+            store, TABLE_TERM, HOLDER_PARTITION, REGISTRY_KEY, encode_registry(frozenset(('i-0',)))
         )
         released = TermRow('node-9', 7, released=True)
         write_row(store, TABLE_TERM, TERM_PARTITION, TERM_KEY, encode_term(released))
--- a/tests/scheduling/test_job_retention.py
+++ b/tests/scheduling/test_job_retention.py
@@ -1,7 +1,8 @@
-"""Jobs that ended long ago are removed, and nothing of them is lost, run again or told wrongly.
+"""Jobs that ended long ago are removed; none is lost, run again or reported with a wrong state.
 
-Pattern: retention with a time to live, with a tombstone while the parts are cleared one by one. Without it the store,
-the holder's memory and the time to take over grow with every job that was ever handed in.
+The rows of a job are removed one partition after the other, and a tombstone stands for the job
+meanwhile. Without the removal, the store, the holder's memory and the time of a takeover grow with
+every job that was ever accepted.
 """
 
 import base64
@@ -26,22 +27,26 @@
 )
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling import holder, job_retention
-from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.job_retention import JobRetention
+from comfreywind.scheduling.scheduler_state import SchedulerState
 from comfreywind.settings.node import JobTimings
 from comfreywind.stand_ins.jobs.row_store import RowStore
-from tests.helpers.board_rig import JOB_ID, QUEUE, TEAM, make_job
 from tests.helpers.manual_clock import ManualClock
+from tests.helpers.scheduler_harness import JOB_ID, QUEUE, TEAM, make_job
 
 RETENTION_S = 100
 OTHER_ID = '00000000000000a2'
 
 
 class MemoryRows:
-    """The store's client without a network; commits get no answer while `lost` counts down to 0."""
+    """The store's client without a network.
+
+    `lost` counts down with each commit, and the one that makes it 0 takes effect but gets
+    no answer.
+    """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with an empty store."""
         self.store = RowStore()
         self.lost = 0
 
@@ -79,15 +84,15 @@
         return StoredRow(*name, base64.b64decode(stored.value), stored.version)
 
     def count(self) -> int:
-        """Return how many rows there are."""
+        """Return the number of rows with a value."""
         return sum(stored.value is not None for stored in self.store.rows.values())
 
 
-class Rig:
-    """A holder's retention over a store with one job, which has ended unless the state says else."""
+class RetentionHarness:
+    """A holder's job retention with a store of one job, which is in the given state."""
 
     def __init__(self, state: JobState = JobState.COMPLETE) -> None:
-        """Store the job."""
+        """Start with an empty store and no holder."""
         self.clock = ManualClock()
         self.client = MemoryRows()
         self.rows: Any = self.client
@@ -95,23 +100,25 @@
         self.state = state
 
     async def take_over(self) -> None:
-        """Have a new holder read the job."""
-        self.board = Board(1)
+        """Let a new holder read the rows of the job."""
+        self.scheduler_state = SchedulerState(1)
         self.retention = JobRetention(
-            self.rows, self.board, RETENTION_S, self.clock, lambda: self.permitted
+            self.rows, self.scheduler_state, RETENTION_S, self.clock, lambda: self.permitted
         )
         accepted = self.client.read((TABLE_INTAKE, compute_intake_partition(JOB_ID), JOB_ID))
         progress = self.client.read((TABLE_PROGRESS, compute_progress_partition(JOB_ID), JOB_ID))
         if accepted.payload is None:
             return
         if isinstance(decode_intake_row(accepted.payload), EndedJob):
-            self.retention.note_ended(JOB_ID, accepted.version, progress.version)
+            self.retention.record_tombstone(JOB_ID, accepted.version, progress.version)
             return
-        self.retention.note_accepted(JOB_ID, accepted.version)
-        self.board.add_job(make_job(), Progress(self.state), progress.version, settled=True)
+        self.retention.record_accepted(JOB_ID, accepted.version)
+        self.scheduler_state.add_job(
+            make_job(), Progress(self.state), progress.version, reconciled=True
+        )
 
     async def store_job(self) -> None:
-        """Store the job, its progress and the mark of a cancelling."""
+        """Store the job, its progress and its cancel marker."""
         intake, other = compute_intake_partition(JOB_ID), compute_progress_partition(JOB_ID)
         await self.rows.commit(intake, [RowChange(TABLE_INTAKE, JOB_ID, encode_job(make_job()))])
         progress = encode_progress(Progress(self.state))
@@ -119,7 +126,7 @@
         await self.rows.commit(other, [RowChange(TABLE_PROGRESS, JOB_ID, progress), mark])
 
     async def sweep(self, after_s: float = 0) -> None:
-        """Sweep as the holder does."""
+        """Advance the clock, then sweep as the holder does."""
         self.clock.advance(after_s)
         try:
             await self.retention.sweep()
@@ -127,57 +134,57 @@
             return
 
 
-async def make_rig(state: JobState = JobState.COMPLETE) -> Rig:
-    """Return a rig whose holder has seen the job once."""
-    rig = Rig(state)
-    await rig.store_job()
-    await rig.take_over()
-    await rig.sweep()
-    return rig
+async def make_harness(state: JobState = JobState.COMPLETE) -> RetentionHarness:
+    """Return a harness whose holder has seen the job in one sweep."""
+    harness = RetentionHarness(state)
+    await harness.store_job()
+    await harness.take_over()
+    await harness.sweep()
+    return harness
 
 
 async def test_removed_in_time(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against jobs that are kept for ever, or for less than the users' `status_s`."""
-    rig = await make_rig()
-    await rig.sweep(RETENTION_S - 1)
-    assert (rig.client.count(), len(rig.board.jobs)) == (3, 1)
-    await rig.sweep(1)
-    assert (rig.client.count(), len(rig.board.jobs)) == (0, 0)
+    """A job is removed after the retention time (`status_s` of the users), not earlier or never."""
+    harness = await make_harness()
+    await harness.sweep(RETENTION_S - 1)
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (3, 1)
+    await harness.sweep(1)
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (0, 0)
 
 
 @pytest.mark.parametrize('state', [JobState.QUEUED, JobState.RUNNING])
 async def test_open_jobs_stay(state: JobState, autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against the removal of a job that is not done, however old."""
-    rig = await make_rig(state)
-    await rig.sweep(10 * RETENTION_S)
-    assert (rig.client.count(), len(rig.board.jobs)) == (3, 1)
+    """A job that has not ended is never removed, however old it is."""
+    harness = await make_harness(state)
+    await harness.sweep(10 * RETENTION_S)
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (3, 1)
 
 
 async def test_former_holder(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a removal by a holder whose term has run out meanwhile."""
-    rig = await make_rig()
-    rig.permitted = False
-    await rig.sweep(2 * RETENTION_S)
-    assert rig.client.count() == 3
+    """A holder whose term has ended removes nothing."""
+    harness = await make_harness()
+    harness.permitted = False
+    await harness.sweep(2 * RETENTION_S)
+    assert harness.client.count() == 3
 
 
 async def test_time_counts_from_the_takeover(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a holder that takes what it has just read for old."""
-    rig = await make_rig()
-    rig.clock.advance(RETENTION_S - 1)
-    await rig.take_over()
-    await rig.sweep()
-    await rig.sweep(RETENTION_S - 1)
-    assert rig.client.count() == 3
+    """The retention restarts at a takeover: the new holder does not know when jobs have ended."""
+    harness = await make_harness()
+    harness.clock.advance(RETENTION_S - 1)
+    await harness.take_over()
+    await harness.sweep()
+    await harness.sweep(RETENTION_S - 1)
+    assert harness.client.count() == 3
 
 
 async def test_progress_written_by_a_caller(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a cancelled job that stays because its row has another version."""
-    rig = await make_rig(JobState.CANCELLED)
-    rig.board.jobs[JOB_ID].progress_version = 0
-    await rig.sweep(RETENTION_S)
-    await rig.sweep()
-    assert (rig.client.count(), len(rig.board.jobs)) == (0, 0)
+    """A cancelled job is removed although a caller's write gave its row an unknown version."""
+    harness = await make_harness(JobState.CANCELLED)
+    harness.scheduler_state.jobs[JOB_ID].progress_version = 0
+    await harness.sweep(RETENTION_S)
+    await harness.sweep()
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (0, 0)
 
 
 @pytest.mark.parametrize('taken_over', [False, True])
@@ -185,80 +192,80 @@
 async def test_lost_answer(
     lost: int, taken_over: bool, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against a removal that stops half-way, or a job that runs again because of it."""
-    rig = await make_rig()
-    rig.client.lost = lost
-    await rig.sweep(RETENTION_S)
-    assert await JobStore(rig.rows, 65_536, RETENTION_S, rig.clock).read_state(
+    """A removal continues after a lost answer, and the job is not loaded again by a new holder."""
+    harness = await make_harness()
+    harness.client.lost = lost
+    await harness.sweep(RETENTION_S)
+    assert await JobStore(harness.rows, 65_536, RETENTION_S, harness.clock).read_state(
         JOB_ID, TEAM, QUEUE
     ) in {JobState.COMPLETE, None}
     if taken_over:
-        await rig.take_over()
-        assert not rig.board.jobs
-    await rig.sweep()
-    await rig.sweep()
-    assert (rig.client.count(), len(rig.board.jobs)) == (0, 0)
+        await harness.take_over()
+        assert not harness.scheduler_state.jobs
+    await harness.sweep()
+    await harness.sweep()
+    assert (harness.client.count(), len(harness.scheduler_state.jobs)) == (0, 0)
 
 
 @pytest.mark.parametrize('told', [False, True])
-async def test_id_used_anew_after_a_lost_answer(
+async def test_id_reused_after_a_lost_answer(
     told: bool, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against a new job under an old id that is removed or never started."""
-    rig = await make_rig()
-    rig.client.lost = 3
-    await rig.sweep(RETENTION_S)
-    store = JobStore(rig.rows, 65_536, RETENTION_S, rig.clock)
+    """A new job under the id of a removed one is neither removed nor left without a start."""
+    harness = await make_harness()
+    harness.client.lost = 3
+    await harness.sweep(RETENTION_S)
+    store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.accept(make_job(), lambda: True)
-    version = rig.client.store.version
+    version = harness.client.store.version
     change = RowChange(TABLE_PROGRESS, JOB_ID, encode_progress(Progress(JobState.RUNNING)), 0)
-    await rig.rows.commit(compute_progress_partition(JOB_ID), [change])
+    await harness.rows.commit(compute_progress_partition(JOB_ID), [change])
     for _ in range(2):
         if told:
-            rig.retention.note_accepted(JOB_ID, version)
-            rig.board.add_job(make_job(), Progress(), 0, settled=True)
-        await rig.sweep(2 * RETENTION_S)
-    assert rig.client.count() == 2
-    assert (JOB_ID in rig.board.open_jobs) is told
-
-
-async def test_id_used_anew_during_a_takeover(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a holder that clears the progress of a new job for the one it read of."""
-    rig = await make_rig()
-    rig.client.lost = 1
-    await rig.sweep(RETENTION_S)
-    former = rig.retention
-    await rig.take_over()
+            harness.retention.record_accepted(JOB_ID, version)
+            harness.scheduler_state.add_job(make_job(), Progress(), 0, reconciled=True)
+        await harness.sweep(2 * RETENTION_S)
+    assert harness.client.count() == 2
+    assert (JOB_ID in harness.scheduler_state.open_jobs) is told
+
+
+async def test_id_reused_during_a_takeover(autojump_clock: trio.testing.MockClock) -> None:
+    """A holder must not clear the progress of a new job that reuses the id of a removed one."""
+    harness = await make_harness()
+    harness.client.lost = 1
+    await harness.sweep(RETENTION_S)
+    former = harness.retention
+    await harness.take_over()
     for _ in range(2):
         await former.sweep()
-    store = JobStore(rig.rows, 65_536, RETENTION_S, rig.clock)
+    store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.accept(make_job(), lambda: True)
     change = RowChange(TABLE_PROGRESS, JOB_ID, encode_progress(Progress(JobState.RUNNING)), 0)
-    await rig.rows.commit(compute_progress_partition(JOB_ID), [change])
+    await harness.rows.commit(compute_progress_partition(JOB_ID), [change])
     for _ in range(2):
-        await rig.sweep()
-    assert rig.client.count() == 2
+        await harness.sweep()
+    assert harness.client.count() == 2
 
 
 @pytest.mark.parametrize('state', [JobState.COMPLETE, JobState.QUEUED])
 async def test_nodes_forget_in_time(
     state: JobState, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Guards against a node that tells of a removed job what it remembers of it."""
-    rig = await make_rig(state)
-    store = JobStore(rig.rows, 65_536, RETENTION_S, rig.clock)
+    """A node must not report the remembered state of a job that has been removed."""
+    harness = await make_harness(state)
+    store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.read_state(JOB_ID, TEAM, QUEUE) is state
-    rig.board.jobs[JOB_ID].progress.state = JobState.COMPLETE
-    rig.board.open_jobs.clear()
-    await rig.sweep()
-    await rig.sweep(RETENTION_S)
-    assert rig.client.count() == 0
+    harness.scheduler_state.jobs[JOB_ID].progress.state = JobState.COMPLETE
+    harness.scheduler_state.open_jobs.clear()
+    await harness.sweep()
+    await harness.sweep(RETENTION_S)
+    assert harness.client.count() == 0
     assert await store.read_state(JOB_ID, TEAM, QUEUE) is None
     assert await store.cancel(JOB_ID, TEAM, QUEUE) is None
 
 
 class RemovingRows(MemoryRows):
-    """A store that removes the job after it has read the accepted row and before its progress."""
+    """A store that removes the job between the reads of its accepted row and of its progress."""
 
     async def read_row(self, table: str, part: str, key: str) -> StoredRow:
         """Return a row."""
@@ -271,16 +278,16 @@
 
 
 async def test_removed_between_two_readings(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a job that is told as queued because its progress is gone already."""
-    rig = Rig()
-    rig.rows = rig.client = RemovingRows()
-    await rig.store_job()
-    store = JobStore(rig.rows, 65_536, RETENTION_S, rig.clock)
+    """A job that is removed between two reads must not be reported as queued."""
+    harness = RetentionHarness()
+    harness.rows = harness.client = RemovingRows()
+    await harness.store_job()
+    store = JobStore(harness.rows, 65_536, RETENTION_S, harness.clock)
     assert await store.read_state(JOB_ID, TEAM, QUEUE) is None
 
 
 async def test_fleet_forgets_and_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the whole path: rows gone, 410 told, the same id accepted and run once more."""
+    """A fleet removes the rows of a job, answers 410 for it, and accepts its id again."""
     monkeypatch.setattr(job_retention, 'SWEEP_INTERVAL_S', 0.1)
     monkeypatch.setattr(holder, 'RETENTION_MARGIN_S', 0.2)
     timings = JobTimings(status_retention_s=0.6)
--- a/tests/scheduling/test_pools_at_size.py
+++ b/tests/scheduling/test_pools_at_size.py
@@ -14,7 +14,7 @@
 from comfreywind.scheduling import demand_watch
 from comfreywind.scheduling.pool_sizer import PoolSizer
 from comfreywind.scheduling.target_record import TargetRecord
-from tests.helpers.board_rig import BoardRig, make_job
+from tests.helpers.scheduler_harness import SchedulerHarness, make_job
 
 NOW_MS = 10_000_000
 ONE_HOUR_MS = 3_600_000
@@ -33,12 +33,12 @@
 
 def count_passes(pools: int) -> int:
     """Return how often all targets are looked at to size so many pools once."""
-    rig = BoardRig(targets=4)
+    rig = SchedulerHarness(targets=4)
     rig.add_job()
     rig.start()
-    targets = CountedTargets(rig.board.targets)
-    rig.board.targets = targets
-    sizer = PoolSizer(rig.board, PoolPolicy())
+    targets = CountedTargets(rig.scheduler_state.targets)
+    rig.scheduler_state.targets = targets
+    sizer = PoolSizer(rig.scheduler_state, PoolPolicy())
     sizer.choose([Pool(f'pool-{number}') for number in range(pools)], {}, rig.now_s)
     return targets.passes
 
@@ -53,12 +53,14 @@
 
 def test_old_jobs_are_not_recalled(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a new holder that reconstructs the load of hours, for which it plans nothing."""
-    rig = BoardRig(targets=1)
+    rig = SchedulerHarness(targets=1)
     for number, accepted_ms in enumerate((NOW_MS - ONE_HOUR_MS, NOW_MS - 1000)):
         job = make_job(
             Step(1, Resources(1000, 100)), job_id=f'{number:016x}', accepted_ms=accepted_ms
         )
-        rig.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, settled=True)
+        rig.scheduler_state.add_job(
+            job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, reconciled=True
+        )
     recalled: list[int] = []
 
     def note_job(job: past_load.Job) -> list[past_load.PastWork]:
@@ -66,5 +68,5 @@
         return past_load.list_past_work(job)
 
     monkeypatch.setattr(demand_watch, 'list_past_work', note_job)
-    PoolSizer(rig.board, PoolPolicy()).recall(rig.now_s, NOW_MS)
+    PoolSizer(rig.scheduler_state, PoolPolicy()).recall(rig.now_s, NOW_MS)
     assert recalled == [NOW_MS - 1000]
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -1,4 +1,4 @@
-"""The link to a target: leases and silence."""
+"""The link to a target: leases, silence and intervals of polls."""
 
 import itertools
 from typing import Any, cast
@@ -14,23 +14,23 @@
 from comfreywind.scheduling.progress_journal import ProgressJournal
 from comfreywind.scheduling.target_link import TargetLink
 from comfreywind.scheduling.term_keeper import TermKeeper
-from tests.helpers.board_rig import BoardRig
+from tests.helpers.scheduler_harness import SchedulerHarness
 from tests.helpers.trio_clock import TrioClock
 
 
 class FakeTarget:
-    """Answers holds with an empty list until it falls silent or is replaced."""
+    """Answers hold requests with an empty report until `failure` is set."""
 
-    def __init__(self, rig: BoardRig) -> None:
-        """Answer for the runs that the board has on t0."""
-        self.rig = rig
+    def __init__(self, harness: SchedulerHarness) -> None:
+        """Start as target t0 of the harness."""
+        self.harness = harness
         self.failure: Exception | None = None
         self.expiries: list[int | None] = []
 
     async def hold(
         self, fence: int, last_seen: int, expires_ms: int | None, wait_ms: int
     ) -> TargetReport:
-        """Answer one hold."""
+        """Answer one hold request after its wait."""
         await trio.sleep(wait_ms / 1000)
         if self.failure is not None:
             raise self.failure
@@ -55,17 +55,17 @@
     def wake(self) -> None:
         """Do nothing."""
 
-    async def wait_stored(self, limit_s: float) -> None:
-        """Return after a moment."""
+    async def wait_until_stored(self, limit_s: float) -> None:
+        """Return after 10 ms."""
         await trio.sleep(0.01)
 
 
-def make_link(rig: BoardRig, client: Any) -> TargetLink:
+def make_link(harness: SchedulerHarness, client: Any) -> TargetLink:
     """Return the link of target t0."""
     return TargetLink(
-        rig.board.targets['t0'],
+        harness.scheduler_state.targets['t0'],
         cast('TargetClient', client),
-        rig.board,
+        harness.scheduler_state,
         cast('ProgressJournal', NoJournal()),
         cast('TermKeeper', ValidTerm()),
         TrioClock(),
@@ -75,54 +75,54 @@
     )
 
 
-async def start_run(nursery: trio.Nursery, rig: BoardRig, client: FakeTarget) -> Order:
-    """Run the link of a target, and order a run that no report has to show; return the order."""
-    link = make_link(rig, client)
+async def start_run(nursery: trio.Nursery, harness: SchedulerHarness, client: FakeTarget) -> Order:
+    """Run the link of a target, and return the start order of a run that no report has to list."""
+    link = make_link(harness, client)
     nursery.start_soon(link.run)
     await trio.sleep(0.5)
-    (order,) = rig.plan()
-    rig.board.targets['t0'].runs[order.key].settled_s = float('inf')
+    (order,) = harness.plan()
+    harness.scheduler_state.targets['t0'].runs[order.key].last_answer_s = float('inf')
     link.wake()
     return order
 
 
 @pytest.mark.parametrize(
     ('failure', 'limit_s'),
-    [(TargetSilentError('silent'), 7), (TargetReplacedError('another life'), 2)],
+    [(TargetSilentError('silent'), 7), (TargetReplacedError('another incarnation'), 2)],
 )
 async def test_runs_of_lost_target(
     autojump_clock: trio.testing.MockClock, failure: Exception, limit_s: float
 ) -> None:
-    """Guards against tasks that never run again after their target has gone.
+    """The tasks of a target that is gone are queued again once its lease has ended.
 
-    Seen on prevoz-plan mix, seed 726267510281: each look at a target that had left moved the end of
-    its lease on, so that its runs never lapsed.
+    Seen on prevoz-plan mix, seed 726267510281: each poll of a target that was gone extended its
+    lease in the holder's record, so that its runs never lapsed.
     """
-    rig = BoardRig(targets=1)
-    rig.add_job()
-    client = FakeTarget(rig)
+    harness = SchedulerHarness(targets=1)
+    harness.add_job()
+    client = FakeTarget(harness)
     async with trio.open_nursery() as nursery:
-        order = await start_run(nursery, rig, client)
+        order = await start_run(nursery, harness, client)
         await trio.sleep(0.5)
         client.failure = failure
         with trio.fail_after(limit_s):
-            while rig.board.targets['t0'].runs:
+            while harness.scheduler_state.targets['t0'].runs:
                 await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    assert list(rig.board.jobs[order.key.job_id].waiting) == [order.key]
+    assert list(harness.scheduler_state.jobs[order.key.job_id].waiting) == [order.key]
 
 
 async def test_lease_outlasts_silence(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a second run while the first may still hold its lease."""
-    rig = BoardRig(targets=1)
-    rig.add_job()
-    client = FakeTarget(rig)
+    """A task of a silent target is not started again while its first run may still hold a lease."""
+    harness = SchedulerHarness(targets=1)
+    harness.add_job()
+    client = FakeTarget(harness)
     async with trio.open_nursery() as nursery:
-        await start_run(nursery, rig, client)
+        await start_run(nursery, harness, client)
         await trio.sleep(1.5)
         client.failure = TargetSilentError('silent')
         last_expiry_s = max(expiry or 0 for expiry in client.expiries) / 1000
-        while rig.board.targets['t0'].runs:
+        while harness.scheduler_state.targets['t0'].runs:
             assert trio.current_time() < last_expiry_s + 10
             await trio.sleep(0.1)
         assert trio.current_time() > last_expiry_s * 1.02
@@ -130,7 +130,7 @@
 
 
 def test_outcomes_are_known() -> None:
-    """Guards against an outcome on the wire that the product does not know."""
+    """The outcomes that targets report are exactly these."""
     assert {outcome.value for outcome in RunOutcome} == {
         'done',
         'failed',
@@ -142,45 +142,45 @@
 
 
 class SilentTarget(FakeTarget):
-    """Never answers, and notes when it was asked."""
+    """Never answers, and records the times of the requests."""
 
-    def __init__(self, rig: BoardRig) -> None:
-        """Start without a call."""
-        super().__init__(rig)
+    def __init__(self, harness: SchedulerHarness) -> None:
+        """Start without a request."""
+        super().__init__(harness)
         self.asked_s: list[float] = []
 
     async def hold(
         self, fence: int, last_seen: int, expires_ms: int | None, wait_ms: int
     ) -> TargetReport:
-        """Note the call and refuse it."""
+        """Record the time of the request and give no answer."""
         self.asked_s.append(trio.current_time())
         raise TargetSilentError('refused')
 
 
-async def test_looks_at_moved_targets(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards the cost of targets whose VMs have moved: a holder orders dozens of moves a second.
+async def test_polls_of_moved_targets(autojump_clock: trio.testing.MockClock) -> None:
+    """Polls of a target whose VM has moved back off exponentially, because moves are many.
 
-    Pattern: exponential backoff. Seen on prevoz-plan-large quiet-1: 1,728 moves left as many links
-    that tried to connect three times a second until the entry and the lease were gone.
+    A holder orders dozens of moves a second. Seen on prevoz-plan-large quiet-1: 1,728 moves left as
+    many links that tried to connect three times a second until the entry and the lease were gone.
     """
-    rig = BoardRig(targets=1)
-    client = SilentTarget(rig)
-    rig.board.targets['t0'].leaving = True
-    rig.board.targets['t0'].lease_end_s = trio.current_time() + 6
+    harness = SchedulerHarness(targets=1)
+    client = SilentTarget(harness)
+    harness.scheduler_state.targets['t0'].leaving = True
+    harness.scheduler_state.targets['t0'].lease_end_s = trio.current_time() + 6
     with trio.fail_after(10):
-        await make_link(rig, client).run()
+        await make_link(harness, client).run()
     assert len(client.asked_s) <= 7
 
 
-async def test_looks_at_silent_runs(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a target with runs that is found late when it answers again."""
-    rig = BoardRig(targets=1)
-    rig.add_job()
-    rig.start()
-    client = SilentTarget(rig)
-    rig.board.targets['t0'].lease_end_s = trio.current_time() + 6
+async def test_polls_of_silent_runs(autojump_clock: trio.testing.MockClock) -> None:
+    """A silent target with runs is polled often, so that a recovery is noticed soon."""
+    harness = SchedulerHarness(targets=1)
+    harness.add_job()
+    harness.start()
+    client = SilentTarget(harness)
+    harness.scheduler_state.targets['t0'].lease_end_s = trio.current_time() + 6
     with trio.move_on_after(5):
-        await make_link(rig, client).run()
+        await make_link(harness, client).run()
     gaps_s = [later - earlier for earlier, later in itertools.pairwise(client.asked_s)]
     assert max(gaps_s) < 0.5
 
@@ -189,12 +189,15 @@
     ('lasting', 'at_work', 'wait_ms'), [(1, 0, 500), (1, 1, 1000), (0, 0, 1000)]
 )
 def test_wait_for_report(long_running: int, at_work: int, wait_ms: int) -> None:
-    """Guards against lasting tasks that are seen at work a second late, which holds up upkeep."""
-    rig = BoardRig(targets=1)
-    rig.add_job()
-    (order,) = rig.start()
-    run = rig.board.targets['t0'].runs[order.key]
+    """Long-running tasks that warm up are polled more often, because maintenance waits for them.
+
+    Otherwise they would be known to be at work up to a second late.
+    """
+    harness = SchedulerHarness(targets=1)
+    harness.add_job()
+    (order,) = harness.start()
+    run = harness.scheduler_state.targets['t0'].runs[order.key]
     run.long_running, run.at_work = bool(long_running), bool(at_work)
-    link = make_link(rig, FakeTarget(rig))
+    link = make_link(harness, FakeTarget(harness))
     link._clock_offset_ms = 0
-    assert link._find_wait_ms() == wait_ms
+    assert link._choose_wait_ms() == wait_ms
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_upkeep_rounds.py
@@ -24,7 +24,7 @@
 from comfreywind.scheduling.orders import StartOrder
 from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
-from tests.helpers.board_rig import POOL, BoardRig, make_job
+from tests.helpers.scheduler_harness import POOL, SchedulerHarness, make_job
 from tests.helpers.trio_clock import TrioClock
 
 VMS = 8
@@ -40,7 +40,7 @@
 
     def __init__(self, unavailable_limit: int = 1) -> None:
         """Run a lasting step with a task on each VM, of which few may be away; half of them are due."""
-        self.rig = BoardRig(targets=2 * VMS, cpu=2_000)
+        self.rig = SchedulerHarness(targets=2 * VMS, cpu=2_000)
         step = Step(
             2 * VMS, Resources(1_000, 100), long_running=True, unavailable_limit=unavailable_limit
         )
@@ -62,7 +62,7 @@
         wave = MaintenanceWave(1, tuple(names[:VMS]), VMS, 60)
         self.waves = {1: wave}
 
-    def find_wave_end_s(self, wave: int) -> float:
+    def get_wave_end_s(self, wave: int) -> float:
         """Return a time that is far away."""
         return float('inf')
 
@@ -131,7 +131,7 @@
                     self.at_work_s[order.target_id] = trio.current_time() + WARM_UP_S
                     self.restarted_on.append(order.target_id)
                     self.restarts_s.append(trio.current_time() - self.ordered_s)
-            for record in self.rig.board.targets.values():
+            for record in self.rig.scheduler_state.targets.values():
                 for run in record.runs.values():
                     at_work = trio.current_time() >= self.at_work_s[record.entry.target_id]
                     run.at_work = at_work and not run.ending
@@ -142,16 +142,26 @@
     """Return the keeper of a holder that takes over now."""
     clock = TrioClock()
     term = cast('Any', SimpleNamespace(epoch=1, taken_s=clock.read_monotonic_s()))
-    board = fleet.rig.board
+    scheduler_state = fleet.rig.scheduler_state
     return UpkeepKeeper(
-        term, 'n', fleet, fleet, fleet, watch, fleet, fleet, board, clock, lambda orders: None
+        term,
+        'n',
+        fleet,
+        fleet,
+        fleet,
+        watch,
+        fleet,
+        fleet,
+        scheduler_state,
+        clock,
+        lambda orders: None,
     )
 
 
 async def test_one_at_a_time(autojump_clock: trio.testing.MockClock) -> None:
     """Guards against a wave that is late because of the time between two VMs of one step."""
     fleet = cast('Any', Fleet())
-    watch = VmWatch(fleet, fleet.rig.board, TrioClock())
+    watch = VmWatch(fleet, fleet.rig.scheduler_state, TrioClock())
     keeper = make_keeper(fleet, watch)
     async with trio.open_nursery() as nursery:
         fleet.start(nursery, watch, keeper.is_busy)
@@ -178,7 +188,7 @@
     complete 13 s after its last upkeep.
     """
     fleet = cast('Any', Fleet())
-    watch = VmWatch(fleet, fleet.rig.board, TrioClock())
+    watch = VmWatch(fleet, fleet.rig.scheduler_state, TrioClock())
     async with trio.open_nursery() as nursery:
         fleet.start(nursery, watch, lambda: True)
         await trio.sleep(2 * WARM_UP_S)
@@ -216,7 +226,7 @@
     fleet.vms.update(
         {name: replace(fleet.vms[name], up=False, in_maintenance=True) for name in listed}
     )
-    watch = VmWatch(fleet, fleet.rig.board, TrioClock())
+    watch = VmWatch(fleet, fleet.rig.scheduler_state, TrioClock())
     keeper = make_keeper(fleet, watch)
     async with trio.open_nursery() as nursery:
         fleet.start(nursery, watch, keeper.is_busy)
