--- a/comfreywind/decisions/admission.py
+++ b/comfreywind/decisions/admission.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """The parts of a request that admission looks at; empty text stands for a missing header."""
+    """The fields of a request that admission depends on; a missing header is an empty string."""
 
     queue: str
     authorization: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """An admitted request: its queue and the team whose work it is."""
+    """An admitted request: its queue and the team that it is charged to."""
 
     queue: QueueRules
     team: str
@@ -27,7 +27,7 @@
 def admit_request(
     request: AdmissionRequest, rules: Rules, keys: dict[str, TeamKey]
 ) -> Admission | Refusal:
-    """Return the admission, or the refusal when key, team or queue don't fit together."""
+    """Return the admission, or a refusal if the key or team may not use the queue."""
     queue = rules.queues.get(request.queue)
     if queue is None:
         return Refusal(RefusalReason.QUEUE_UNKNOWN, f'no queue is named {request.queue!r}')
@@ -40,11 +40,11 @@
 
 
 def _admit_team(
-    request: AdmissionRequest, queue: QueueRules, team: str, team_known: bool
+    request: AdmissionRequest, queue: QueueRules, team: str, is_known_team: bool
 ) -> Admission | Refusal:
     if request.named_team not in {'', team}:
         return Refusal(RefusalReason.TEAM_MISMATCH, f'the key is not of {request.named_team!r}')
-    if not team_known or not (queue.open or team in queue.teams):
+    if not is_known_team or not (queue.open or team in queue.teams):
         return Refusal(RefusalReason.QUEUE_NOT_ALLOWED, f'{team!r} may not use {queue.name!r}')
     return Admission(queue, team)
 
--- a/comfreywind/decisions/attempt.py
+++ b/comfreywind/decisions/attempt.py
@@ -1,16 +1,20 @@
-"""How one attempt at a target ended, and what follows from that."""
+"""Results of attempts to send a request to a target, and how they are classified."""
 
 import enum
 from dataclasses import dataclass
 
 from comfreywind.decisions.refusal import Outcome
 
-# A shorter wait without an answer says more about the caller's deadline than about the target.
-SLOW_FAILURE_S = 3.0
+# A timeout after less than this may be due to a short deadline of the caller, not to the target.
+MIN_FAILED_WAIT_S = 3.0
 
 
 class AttemptEnd(enum.Enum):
-    """The ways in which an attempt can end."""
+    """How an attempt ended.
+
+    `REFUSED` is the answer of a target without a free slot, `UNREACHABLE` a failure to connect, and
+    `BROKEN` a connection that was lost before the answer was complete.
+    """
 
     ANSWERED = enum.auto()
     ERROR_ANSWERED = enum.auto()
@@ -22,11 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt that has ended.
+    """The result of one attempt.
 
-    `byte_sent` is True as soon as a byte of the request may have reached the target; `reused` tells
-    that the connection had served another request before, and `silent` that the target has answered
-    over a newer connection while this one stayed without a byte.
+    `byte_sent` is True if a byte of the request may have reached the target, `reused` if the
+    connection had served another request before, and `silent` if the target has answered on a newer
+    connection while nothing was received on this one. `taken_s` is the duration of the attempt.
     """
 
     end: AttemptEnd
@@ -38,7 +42,11 @@
 
 
 def find_outcome(attempt: Attempt) -> Outcome:
-    """Return what a caller may conclude; only the target's word allows not-run after a byte."""
+    """Return what the caller may conclude from the attempt.
+
+    Once a byte may have reached the target, only a refusal by the target proves that the request
+    has not run.
+    """
     if attempt.end in {AttemptEnd.ANSWERED, AttemptEnd.ERROR_ANSWERED}:
         return Outcome.ANSWERED
     if attempt.end is AttemptEnd.REFUSED or not attempt.byte_sent:
@@ -47,14 +55,14 @@
 
 
 def counts_as_failure(attempt: Attempt) -> bool:
-    """Return whether the attempt is a failure of its target.
+    """Return whether the attempt counts as a failure of the target.
 
-    A refusal is the answer of a busy target. A timeout counts only when the target had
-    SLOW_FAILURE_S and sent nothing, because a short deadline of a caller is no fault of the target.
-    A silent connection is a fault of the network between.
+    A refusal does not count: the target works but is busy. A timeout counts only if the target sent
+    nothing for MIN_FAILED_WAIT_S, because a short deadline of a caller is not the target's fault. A
+    silent connection is a fault of the network.
     """
     if attempt.silent:
         return False
     if attempt.end is AttemptEnd.TIMED_OUT:
-        return not attempt.byte_received and attempt.taken_s >= SLOW_FAILURE_S
+        return not attempt.byte_received and attempt.taken_s >= MIN_FAILED_WAIT_S
     return attempt.end not in {AttemptEnd.ANSWERED, AttemptEnd.REFUSED}
--- a/comfreywind/decisions/claim.py
+++ b/comfreywind/decisions/claim.py
@@ -1,4 +1,4 @@
-"""Decides who may run a request with an idempotency key (docs/design.md, 5.4)."""
+"""Decides which entry may run a request with an idempotency key (docs/design.md, 5.4)."""
 
 import enum
 from dataclasses import dataclass
@@ -8,7 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRow:
-    """A row of the table `claims`; `claimed_at_s` is Unix time, `outcome` None while not known."""
+    """A row of the table `claims`.
+
+    `claimed_at_s` is a Unix time. `outcome` is None until the request has ended.
+    """
 
     claim_id: str
     entry: str
@@ -20,7 +23,7 @@
 
 
 class WriteResult(enum.Enum):
-    """What the store said about a conditional write."""
+    """Result of a conditional write to the store; `LOST` means that no reply arrived."""
 
     DONE = enum.auto()
     CONFLICT = enum.auto()
@@ -28,7 +31,11 @@
 
 
 class ClaimStep(enum.Enum):
-    """The next step of an entry that wants to claim a key."""
+    """The next step of an entry that is claiming an idempotency key.
+
+    `REJECT_TAKEN` is for a key that the same request has claimed before, `REJECT_OTHER_REQUEST` for
+    a key that came with another method, path or body.
+    """
 
     RUN = enum.auto()
     WRITE = enum.auto()
@@ -38,25 +45,25 @@
 
 
 class ClaimEnd(enum.Enum):
-    """What happens to the row when the request of a claim has ended."""
+    """What is done with the claim row when the request has ended."""
 
     RELEASE = enum.auto()
     WRITE_OUTCOME = enum.auto()
 
 
-def decide_after_write(ending: WriteResult) -> ClaimStep:
-    """Return the step after the creation of the row was tried.
+def decide_after_write(result: WriteResult) -> ClaimStep:
+    """Return the step after an attempt to create the claim row.
 
-    Neither a conflict nor a lost reply tells whose row it is: an earlier write of this very claim
-    may have taken effect. Only reading the row tells.
+    After a conflict or a lost reply the row must be read to see whose it is: an earlier write of
+    this same claim may have taken effect.
     """
-    return ClaimStep.RUN if ending is WriteResult.DONE else ClaimStep.READ
+    return ClaimStep.RUN if result is WriteResult.DONE else ClaimStep.READ
 
 
 def decide_after_read(
     row: ClaimRow | None, claim_id: str, fingerprint: str, oldest_s: float
 ) -> ClaimStep:
-    """Return the step after the row was read; a row claimed before `oldest_s` has expired."""
+    """Return the step after the row was read; a claim made before `oldest_s` has expired."""
     if row is None:
         return ClaimStep.WRITE
     if row.claim_id == claim_id:
@@ -69,17 +76,17 @@
 
 
 def find_write_condition(row: ClaimRow | None) -> int:
-    """Return the version that the row must have for a claim to be written; 0 means missing."""
+    """Return the row version that the write of a claim is conditional on, 0 for a missing row."""
     return 0 if row is None else row.version
 
 
 def decide_claim_end(outcome: Outcome) -> ClaimEnd:
-    """Return what to do with the row; only a request that has certainly not run releases it."""
+    """Return what to do with the row; it is released only if the request has certainly not run."""
     return ClaimEnd.RELEASE if outcome is Outcome.NOT_RUN else ClaimEnd.WRITE_OUTCOME
 
 
 def is_end_settled(end: ClaimEnd, row: ClaimRow | None, claim_id: str) -> bool:
-    """Return whether the row shows that the end of the claim needs no further write."""
+    """Return whether the row, as just read, needs no further write for the end of the claim."""
     if row is None or row.claim_id != claim_id:
         return True
     return end is ClaimEnd.WRITE_OUTCOME and row.outcome is not None
--- a/comfreywind/decisions/fair_share.py
+++ b/comfreywind/decisions/fair_share.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareClaim:
-    """A claimant's weight and the most that it can use: its demand, capped by its ceiling."""
+    """A claimant's weight and the most that it can use, which is its demand up to its ceiling."""
 
     weight: float
     limit: float
@@ -17,21 +17,26 @@
 def compute_fair_shares(capacity: float, claims: Mapping[str, ShareClaim]) -> dict[str, float]:
     """Return the weighted max-min fair share of each claimant.
 
-    No share exceeds its limit, the shares sum up to the lower of capacity and all limits, and a
-    claimant below its limit has at least as much per weight as any other.
+    No share exceeds the claimant's limit. The shares sum up to the capacity or to the sum of the
+    limits, whichever is lower. A claimant below its limit gets at least as much per unit of weight
+    as any other.
     """
     shares: dict[str, float] = {}
-    left = max(0, capacity)
-    weight_left = sum(claim.weight for claim in claims.values())
-    for name, claim in sorted(claims.items(), key=_read_fill_level):
-        part = left * claim.weight / weight_left if weight_left > TOLERANCE else left
-        share = min(claim.limit, part)
+    remaining = max(0, capacity)
+    remaining_weight = sum(claim.weight for claim in claims.values())
+    for name, claim in sorted(claims.items(), key=_compute_limit_per_weight):
+        proportional_share = (
+            remaining * claim.weight / remaining_weight
+            if remaining_weight > TOLERANCE
+            else remaining
+        )
+        share = min(claim.limit, proportional_share)
         shares[name] = share
-        left = max(0, left - share)
-        weight_left -= claim.weight
+        remaining = max(0, remaining - share)
+        remaining_weight -= claim.weight
     return shares
 
 
-def _read_fill_level(named_claim: tuple[str, ShareClaim]) -> tuple[float, str]:
+def _compute_limit_per_weight(named_claim: tuple[str, ShareClaim]) -> tuple[float, str]:
     name, claim = named_claim
     return claim.limit / claim.weight, name
--- a/comfreywind/decisions/freshness.py
+++ b/comfreywind/decisions/freshness.py
@@ -1,4 +1,4 @@
-"""Whether a view may be served from while the store can't be read (design section 5.5)."""
+"""Decides whether an entry may serve from its view while it can't read the store (design, 5.5)."""
 
 from collections.abc import Iterable
 
@@ -7,16 +7,16 @@
 
 
 def is_fresh(now_s: float, confirmed_s: float | None, fresh_s: float) -> bool:
-    """Return whether a view that was complete at `confirmed_s` may still be served from."""
+    """Return whether an entry may still serve from a view that was complete at `confirmed_s`."""
     return confirmed_s is not None and now_s - confirmed_s <= fresh_s
 
 
 def count_needed_reports(members_count: int, cold: bool) -> int:
-    """Return how many reports must confirm the view, of all members including this entry.
+    """Return how many reports must confirm the view; `members_count` includes this entry.
 
     An entry that has had a fresh view counts its own report and needs a majority of the members. A
-    cold entry has no report of its own and needs a majority of the others. One peer is needed at
-    least, so that an entry cut off from everything fails closed.
+    cold entry has no report of its own and needs a majority of the other members. At least one peer
+    is always needed, so that an entry that reaches nobody refuses requests.
     """
     if cold:
         return (members_count - 1) // 2 + 1
@@ -26,10 +26,10 @@
 def find_confirmed_s(
     own: OwnView, reports: Iterable[PeerReport], needed_count: int, oldest_s: float
 ) -> float | None:
-    """Return the time up to which enough reports confirm the own view as complete, or None.
+    """Return the time up to which enough reports confirm that the own view is complete, or None.
 
-    Reports older than `oldest_s` don't count. A member without rules confirms nothing. Any recent
-    report of something that this entry lacks withholds the confirmation until it has been fetched.
+    Reports from before `oldest_s` and reports of members without rules don't count. If a recent
+    report shows something that this entry lacks, nothing is confirmed until that was fetched.
     """
     recent = [
         report
@@ -44,7 +44,7 @@
 
 
 def list_view_sources(own: OwnView, reports: Iterable[PeerReport]) -> list[str]:
-    """Return the peers that hold something which this entry lacks, highest version first."""
+    """Return the peers whose views hold something that this entry lacks, newest bundle first."""
     ahead = [report for report in reports if not own.covers(report.mark)]
     ahead.sort(key=lambda report: (-report.mark.bundle_version, report.name))
     return [report.name for report in ahead if report.mark.bundle_version > 0]
--- a/comfreywind/decisions/keys.py
+++ b/comfreywind/decisions/keys.py
@@ -1,4 +1,4 @@
-"""Keys of teams: their text form, their hash and their check."""
+"""API keys of teams: creation, hashing and authentication."""
 
 import hashlib
 import hmac
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamKey:
-    """A granted key; only the hash of its secret is kept."""
+    """A granted key as it is stored, with the hash of its secret instead of the secret."""
 
     key_id: str
     team: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewKey:
-    """A key just made, with its secret text, which is shown once."""
+    """A key that was just created; `text` contains the secret and is shown only once."""
 
     key_id: str
     secret_sha256: str
@@ -37,9 +37,9 @@
 
 
 def hash_secret(secret: str) -> str:
-    """Return the SHA-256 of a secret in hexadecimal.
+    """Return the SHA-256 hash of a secret in hexadecimal.
 
-    The secret is 24 random bytes, so a plain hash resists guessing without a slow hash function.
+    A secret of 24 random bytes can't be guessed, so no slow password hash is needed.
     """
     return hashlib.sha256(secret.encode()).hexdigest()
 
@@ -47,12 +47,12 @@
 def find_team(keys: dict[str, TeamKey], authorization: str) -> str | None:
     """Return the team of a bearer key (RFC 6750), or None for an unknown or withdrawn key."""
     scheme, _, text = authorization.partition(' ')
-    parts = text.strip().split('_')
-    if scheme.lower() != 'bearer' or len(parts) != 3 or parts[0] != KEY_PREFIX:
+    fields = text.strip().split('_')
+    if scheme.lower() != 'bearer' or len(fields) != 3 or fields[0] != KEY_PREFIX:
         return None
-    key = keys.get(parts[1])
+    key = keys.get(fields[1])
     if key is None or key.withdrawn:
         return None
-    if not hmac.compare_digest(key.secret_sha256, hash_secret(parts[2])):
+    if not hmac.compare_digest(key.secret_sha256, hash_secret(fields[2])):
         return None
     return key.team
--- a/comfreywind/decisions/own_view.py
+++ b/comfreywind/decisions/own_view.py
@@ -1,4 +1,4 @@
-"""This entry's view as the freshness decisions need it."""
+"""Summary of this entry's view, for the freshness decisions."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnView:
-    """The mark of the own view and the digests of peers' rows that were merged into it.
+    """The summary of this entry's view, and the digests of peers' rows that were merged into it.
 
-    `accepted_version` is the highest bundle version known to be accepted, with or without content.
+    `accepted_version` is the highest bundle version known to be accepted, even if its content has
+    not been read yet.
     """
 
     mark: ViewMark
@@ -18,7 +19,7 @@
     merged_vms: frozenset[int]
 
     def covers(self, mark: ViewMark) -> bool:
-        """Return whether this view holds all that the other one holds."""
+        """Return whether this view holds everything that the other one holds."""
         keys_covered = mark.keys_digest == self.mark.keys_digest
         vms_covered = mark.vms_digest == self.mark.vms_digest
         return (
--- a/comfreywind/decisions/pool_plan.py
+++ b/comfreywind/decisions/pool_plan.py
@@ -13,11 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolPlan:
-    """What this entry derives from the loads of all entries.
+    """Slots that this entry may use, computed from the loads of all entries.
 
-    `entitlements` is each team's part of the pool in slots, `quotas` this entry's part of each
-    entitlement, and `slots` their sum as a whole number. `newcomer_quota` is the quota for each unit of weight of a team that had no demand
-    when the plan was made. `urgent_running` counts running urgent requests of all entries.
+    `entitlements` is each team's share of the pool in slots, `quotas` this entry's share of each
+    entitlement, and `slots` the sum of the quotas as a whole number. A team that had no demand when
+    the slots were divided gets `newcomer_quota` for each unit of its weight. `urgent_running` is,
+    by team, the number of running urgent requests of all entries.
     """
 
     entitlements: dict[str, float] = field(default_factory=dict)
@@ -36,12 +37,12 @@
     capacity: float,
     rounding_offset: float,
 ) -> PoolPlan:
-    """Return the plan for one pool with `capacity` slots from the loads of all entries by name.
+    """Divide the `capacity` slots of a pool, given the loads of all entries by entry name.
 
-    Every entry makes it from the same reports, so that the slots of all entries sum up to the
-    capacity as far as the reports are current.
+    Every entry computes this from the same reports. As far as the reports are current, the slots of
+    all entries therefore sum up to the capacity.
     """
-    claims = _make_claims(loads, teams)
+    claims = _make_share_claims(loads, teams)
     entitlements = compute_fair_shares(capacity, claims)
     quotas_by_entry = _split_entitlements(entitlements, loads)
     entry_quotas = {entry: sum(quotas.values()) for entry, quotas in quotas_by_entry.items()}
@@ -59,7 +60,7 @@
     )
 
 
-def _make_claims(
+def _make_share_claims(
     loads: Mapping[str, LoadsByTeam], teams: Mapping[str, TeamRules]
 ) -> dict[str, ShareClaim]:
     demands: dict[str, int] = {}
--- a/comfreywind/decisions/pools/budget.py
+++ b/comfreywind/decisions/pools/budget.py
@@ -1,4 +1,4 @@
-"""The availability budget of a pool."""
+"""The availability budget of a pool: how many VMs may be unavailable at the same time."""
 
 import math
 from collections import Counter
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """The figures of a pool's budget, in VMs.
+    """The availability budget of a pool, in numbers of VMs.
 
-    `tolerated` is the number of available VMs in the largest single failure domain whose loss the
-    pool must survive. `margin` is how many more VMs may become unavailable; it is negative when
-    the pool has less than it requires.
+    `size` counts the pool's own VMs without borrowed ones, `stopping` the planned stops under way.
+    `tolerated` is the number of available VMs in the largest failure domain whose loss the pool
+    must survive.
     """
 
     size: int
@@ -29,23 +29,23 @@
 
     @property
     def margin(self) -> int:
-        """Return the number of VMs that may be stopped without breaking the budget."""
+        """Return how many more VMs may become unavailable; negative if the budget is broken."""
         return self.available - self.tolerated - self.required
 
 
 def count_required(size: int, policy: PoolPolicy) -> int:
     """Return how many VMs of a pool of this size must be available.
 
-    A spare pool may always stop one VM, because a spare pool of one could not be maintained.
+    A spare pool may always stop one VM; otherwise a spare pool of one VM could not be maintained.
     """
     required = math.ceil(size * policy.minimum_available_ratio - ROUNDING_SLACK)
     return min(required, max(0, size - 1)) if policy.spare else required
 
 
 def find_domain(vm: PoolVm, policy: PoolPolicy) -> str:
-    """Return the failure domain in which a wave stops VMs together.
+    """Return the failure domain of the VM; a wave stops VMs of one failure domain together.
 
-    It is the data centre for a pool that tolerates the loss of one, else the rack.
+    This is the data centre if the pool tolerates the loss of one, otherwise the rack.
     """
     if policy.tolerate == 'data-centre':
         return vm.data_centre
@@ -53,10 +53,10 @@
 
 
 def compute_budget(vms: Collection[PoolVm], failing: Collection[str], policy: PoolPolicy) -> Budget:
-    """Return the budget of a pool with these VMs, of which some are observed to fail.
+    """Return the budget of a pool with these VMs, of which those named in `failing` fail.
 
-    Borrowed VMs add to what is available but not to what is required, so that a pool with
-    a failed VM and its replacement requires as much as before the failure.
+    Borrowed VMs count as available but don't raise the required number, so that a pool with a
+    failed VM and its replacement requires as many VMs as before the failure.
     """
     own_count = sum(not vm.borrowed for vm in vms)
     available = [vm for vm in vms if vm.state == VmState.ACTIVE and vm.name not in failing]
--- a/comfreywind/decisions/pools/drain.py
+++ b/comfreywind/decisions/pools/drain.py
@@ -1,4 +1,4 @@
-"""When no work runs on a draining VM and none can be sent to it any more."""
+"""Decides whether a draining VM is drained: it runs no work and gets none from any member."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -8,9 +8,10 @@
 class MemberReport:
     """The last heartbeat of a member that is not fenced.
 
-    `sequence` is the feed sequence up to which it has applied changes, None before its first
-    heartbeat; `running` is the number of its requests on the VM, None when it does not tell. Both
-    come from one heartbeat, so a count of 0 at a later sequence than the draining row stays 0.
+    `sequence` is the sequence in the change feed up to which the member has applied changes, None
+    before its first heartbeat. `running` is the number of its requests on the VM, None if it does
+    not report one. Both come from the same heartbeat. If the sequence includes the draining row, a
+    `running` of 0 stays 0, because the member sends no more requests to the VM.
     """
 
     name: str
@@ -20,11 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A draining VM as the deciding entry sees it; times are monotonic, in seconds.
+    """The drain of a VM as the deciding entry sees it; times are monotonic, in seconds.
 
-    `row_sequence` is a feed sequence that includes the draining row. `confirmed_s` is when every
-    member had confirmed it, None before. `unreported_until_s` is when work of members that have
-    gone or been fenced, or were there before this entry started, has ended at the latest.
+    `row_sequence` is a sequence in the change feed that includes the draining row. `confirmed_s` is
+    when all members had applied it, None before. `unreported_until_s` is the time at which the work
+    of members that sent no report has certainly ended: of those that left or were fenced, and of
+    those that were there before this entry started. `graceful_s` is how long a run may take.
     """
 
     row_sequence: int
@@ -34,7 +36,7 @@
 
 
 def is_confirmed(row_sequence: int, members: Collection[MemberReport]) -> bool:
-    """Return whether every member that is not fenced knows that the VM drains."""
+    """Return whether every member that is not fenced has applied the draining row."""
     return all(
         member.sequence is not None and member.sequence >= row_sequence for member in members
     )
@@ -43,9 +45,9 @@
 def is_drained(drain: Drain, members: Collection[MemberReport], now_s: float) -> bool:
     """Return whether the VM can be stopped or moved without interrupting a request.
 
-    After the confirmation it waits until every member reports no work there. For members that
-    report nothing it waits until the run limit of earlier work has passed, because
-    `Comfreywind-Run-Until` ends that work at the worker.
+    All members must have applied the draining row and report that they run nothing on the VM. For a
+    member that reports no number, `graceful_s` must have passed since the confirmation: the header
+    `Comfreywind-Run-Until` ends earlier work at the worker by then.
     """
     if drain.confirmed_s is None or not is_confirmed(drain.row_sequence, members):
         return False
--- a/comfreywind/decisions/pools/holder.py
+++ b/comfreywind/decisions/pools/holder.py
@@ -1,4 +1,4 @@
-"""Which entry holds the control work of a pool."""
+"""Decides which entry holds the control lease of a pool."""
 
 import enum
 import hashlib
@@ -7,7 +7,7 @@
 
 
 class LeaseStep(enum.StrEnum):
-    """What an entry does about the control lease of a pool."""
+    """What an entry does about the control lease of a pool at one check."""
 
     NOTHING = 'nothing'
     TAKE = 'take'
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseView:
-    """A control lease as one entry sees it; durations are on its own monotonic clock.
+    """A control lease as one entry sees it; durations are measured on its own monotonic clock.
 
-    `unchanged_s` is how long the row has not changed; `other_preferred_s` is how long another
-    entry has been the preferred holder.
+    `unchanged_s` is the time since the row last changed. `preferred_here` tells whether this entry
+    is the preferred holder, `other_preferred_s` for how long another entry has been it.
     """
 
     held_by_other: bool
@@ -31,19 +31,20 @@
 
 
 def choose_holder(pool: str, members: Collection[str]) -> str:
-    """Return the member that should hold the pool (rendezvous hashing).
+    """Return the preferred holder of the pool (rendezvous hashing).
 
-    A member that comes or goes changes only the pools that it holds itself.
+    A member that joins or leaves changes the holder only of the pools that are its own.
     """
-    return max(members, key=lambda member: (_weigh(pool, member), member))
+    return max(members, key=lambda member: (_compute_weight(pool, member), member))
 
 
 def decide_lease(view: LeaseView, ttl_s: float, handover_s: float) -> LeaseStep:
     """Return what to do about a lease.
 
-    A free lease is taken by the preferred entry, and after `ttl_s` by any, because entries may
-    differ about who is alive. A lease of another entry lapses when its row stays unchanged. It is
-    given up for another entry only after that one has been preferred for `handover_s`.
+    The lease of another entry lapses when its row has not changed for `ttl_s`. A free lease is
+    taken by the preferred entry, and after another `ttl_s` by any entry, because entries may
+    disagree about who is alive. A holder releases its lease only after another entry has been
+    preferred for `handover_s`.
     """
     if view.held_here:
         return LeaseStep.RELEASE if view.other_preferred_s >= handover_s else LeaseStep.KEEP
@@ -55,5 +56,5 @@
     return LeaseStep.NOTHING
 
 
-def _weigh(pool: str, member: str) -> int:
+def _compute_weight(pool: str, member: str) -> int:
     return int.from_bytes(hashlib.sha256(f'{pool}/{member}'.encode()).digest()[:8], 'big')
--- a/comfreywind/decisions/pools/pool_plan.py
+++ b/comfreywind/decisions/pools/pool_plan.py
@@ -1,4 +1,4 @@
-"""The whole decision about a pool at one moment."""
+"""Decides all changes to the VMs of a pool at one moment."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolPlan:
-    """Decided changes of VM rows, the spare VMs wanted, and budget and wave afterwards."""
+    """The decided changes of VM rows, and the state of the pool after them.
+
+    `wanted` is the number of VMs that the pool wants from each spare pool, by name.
+    """
 
     changes: tuple[VmChange, ...]
     vms: tuple[PoolVm, ...]
@@ -30,7 +33,7 @@
 
 
 class _Draft:
-    """VMs as they become while the steps of a plan are decided, at most one change a VM."""
+    """The VMs while the steps of a plan are decided; each VM is changed at most once."""
 
     def __init__(self, vms: Iterable[PoolVm]) -> None:
         self._vms: dict[str, PoolVm | None] = {vm.name: vm for vm in vms}
@@ -51,10 +54,11 @@
 def plan_pool(
     snapshot: PoolSnapshot, asked: dict[str, int], choose: StopChooser = choose_stops
 ) -> PoolPlan:
-    """Return what to change in the pool now.
+    """Return the changes to make in the pool now.
 
-    The order matters: observed failures first, then the repair of a broken budget (stops that have
-    not begun to reboot are taken back), and only then reboots, new stops and moves.
+    `asked` is the number of VMs already requested from each spare pool. The order of the steps
+    matters: observed failures first, then the repair of a broken budget (planned stops and moves
+    that are still draining are cancelled), and only then reboots, new stops and moves.
     """
     draft = _Draft(snapshot.vms)
     steps = [observe_vm(vm, snapshot) for vm in snapshot.vms]
@@ -82,7 +86,7 @@
 
 
 def _cancel_drains(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[VmChange]:
-    """Return draining VMs to work while the pool has less than its budget requires."""
+    """Return changes that cancel the latest drains while the budget is broken."""
     margin = compute_budget(vms, snapshot.find_failing(), snapshot.policy).margin
     if snapshot.policy.spare or margin >= 0:
         return []
--- a/comfreywind/decisions/pools/pool_policy.py
+++ b/comfreywind/decisions/pools/pool_policy.py
@@ -1,4 +1,4 @@
-"""What a pool requires of its maintenance and its budget."""
+"""Budget and maintenance rules of a pool."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -8,9 +8,9 @@
 class PoolPolicy:
     """Budget and maintenance rules of a pool, from the bundle and the settings.
 
-    A VM that has not worked for `doubt_s` becomes suspect; after `suspect_s` it is replaced. A VM
-    that has not returned from its reboot in `reboot_limit_s` is replaced too. The row of a VM that
-    has been off the list for `retire_s` is deleted.
+    A VM that has failed for `doubt_s` becomes suspect; after `suspect_s` it is replaced. A VM that
+    has not returned from its reboot after `reboot_limit_s` is replaced too. The row of a VM that
+    has been missing from the VM list for `retire_s` is deleted.
     """
 
     minimum_available_ratio: float
--- a/comfreywind/decisions/pools/pool_snapshot.py
+++ b/comfreywind/decisions/pools/pool_snapshot.py
@@ -1,4 +1,4 @@
-"""All that a decision about a pool is made from."""
+"""The inputs of a decision about a pool."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,7 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SpareRequest:
-    """How many VMs of this spare pool another pool wants, and how many it has or is getting."""
+    """The number of VMs that `pool` wants from this spare pool.
+
+    `given` is the number that it already has, including those on their way.
+    """
 
     pool: str
     wanted: int
@@ -21,10 +24,9 @@
 class PoolSnapshot:
     """A pool at one sequence of the change feed, with the observations of the deciding entry.
 
-    `drained` names the draining VMs on which no work runs and to which none can be sent;
-    `free_spares` gives the number of VMs of each spare pool that are
-    active or already on their way to this pool; `requests` are those that
-    other pools make of this one, if it is a spare pool.
+    `drained` are the names of the draining VMs that run no work and get none. `free_spares` is, for
+    each spare pool, the number of its VMs that are active or on their way to this pool. `requests`
+    are the requests of other pools for VMs of this pool, if it is a spare pool.
     """
 
     name: str
@@ -37,7 +39,7 @@
     requests: tuple[SpareRequest, ...] = ()
 
     def find_failing(self) -> frozenset[str]:
-        """Return the VMs that are observed not to work, whatever their rows say."""
+        """Return the names of the VMs that are observed to fail, whatever their rows say."""
         return frozenset(
             vm.name for vm in self.vms if vm.name in self.health and not self.health[vm.name].works
         )
--- a/comfreywind/decisions/pools/pool_vm.py
+++ b/comfreywind/decisions/pools/pool_vm.py
@@ -1,11 +1,11 @@
-"""A VM of a pool, as its row in the table `vms` describes it."""
+"""A VM of a pool, as recorded in the table `vms`."""
 
 import enum
 from dataclasses import dataclass
 
 
 class VmState(enum.StrEnum):
-    """State of a VM; only `active` ones count as available."""
+    """State of a VM; only active VMs count as available."""
 
     ACTIVE = 'active'
     DRAINING = 'draining'
@@ -15,10 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolVm:
-    """The row of a VM with its place on the VM list; times are Unix times in seconds.
+    """The row of a VM with its location from the VM list; times are Unix times in seconds.
 
     `home_pool` is the pool that a borrowed spare VM returns to. `move_to` is the pool that a
-    draining VM moves to; it is None when the VM drains for a planned stop.
+    draining VM moves to, None if it drains for a planned stop. `since_s` is when the VM entered its
+    state, and `pool_since_s` when it entered its pool.
     """
 
     name: str
@@ -35,7 +36,7 @@
 
     @property
     def borrowed(self) -> bool:
-        """Return whether the VM is a spare one of another pool."""
+        """Return whether the VM is on loan from a spare pool."""
         return self.pool != self.home_pool
 
     @property
--- a/comfreywind/decisions/pools/spares.py
+++ b/comfreywind/decisions/pools/spares.py
@@ -1,4 +1,4 @@
-"""Which spare VMs are asked for, given and returned."""
+"""Decides which spare VMs a pool requests, lends and returns."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -12,19 +12,19 @@
 from comfreywind.decisions.pools.wave import list_due
 
 
-def count_missing(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> int:
+def _count_missing(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> int:
     """Return how many VMs need a replacement.
 
-    These are the VMs that have failed for `suspect_s` without a break, so that a blink moves
-    nothing, and the VMs that have not returned from their reboot in `reboot_limit_s`.
+    These are the VMs that have failed for `suspect_s` without a break, so that a short failure
+    moves no VM, and those that have not returned from their reboot after `reboot_limit_s`.
     """
     return sum(_is_missing(vm, snapshot) for vm in vms)
 
 
-def count_blocked(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> int:
-    """Return 1 when a VM is overdue for maintenance and one more VM would allow its stop.
+def _count_maintenance_spares(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> int:
+    """Return 1 if a VM is overdue for maintenance and one more VM would allow its stop, else 0.
 
-    While any VM is not available, maintenance waits for its return instead.
+    While any VM is unavailable, the result is 0, because maintenance waits for its return.
     """
     due = list_due(snapshot, vms)
     failing = snapshot.find_failing()
@@ -38,26 +38,26 @@
 def choose_wanted(
     snapshot: PoolSnapshot, vms: tuple[PoolVm, ...], asked: dict[str, int]
 ) -> dict[str, int]:
-    """Return how many VMs this pool wants of each spare pool, borrowed ones included.
+    """Return how many VMs this pool wants from each spare pool, including those borrowed already.
 
-    More are asked for only while the budget lacks VMs, and never more than are missing, so that
-    a pool whose budget can't be met at its full size does not take every spare VM.
+    More VMs are requested only while the budget is broken, and never more than are missing, so that
+    a pool whose budget can't be met even at full size does not borrow every spare VM.
     """
     if snapshot.policy.spare:
         return {}
-    kept = [vm for vm in vms if vm.borrowed and vm.move_to is None]
-    wanted = Counter(vm.home_pool for vm in kept)
-    lack = -compute_budget(vms, snapshot.find_failing(), snapshot.policy).margin
-    replacements = min(lack, count_missing(snapshot, vms) - len(kept))
-    more = max(replacements, count_blocked(snapshot, vms))
-    source = _find_source(snapshot, asked, wanted)
-    if more > 0 and source is not None:
-        wanted[source] += more
+    borrowed = [vm for vm in vms if vm.borrowed and vm.move_to is None]
+    wanted = Counter(vm.home_pool for vm in borrowed)
+    shortage = -compute_budget(vms, snapshot.find_failing(), snapshot.policy).margin
+    replacements = min(shortage, _count_missing(snapshot, vms) - len(borrowed))
+    additional = max(replacements, _count_maintenance_spares(snapshot, vms))
+    spare_pool = _choose_spare_pool(snapshot, asked, wanted)
+    if additional > 0 and spare_pool is not None:
+        wanted[spare_pool] += additional
     return dict(sorted(wanted.items()))
 
 
 def give_spares(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[VmChange]:
-    """Return the moves out of this spare pool that other pools have asked for."""
+    """Return the moves of VMs from this spare pool to the pools that requested them."""
     if not snapshot.policy.spare:
         return []
     failing = snapshot.find_failing()
@@ -73,9 +73,10 @@
 
 
 def return_spares(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[VmChange]:
-    """Return the moves of borrowed VMs back home, when the budget holds without them.
+    """Return the moves of borrowed VMs back to their home pools, if the budget holds without them.
 
-    None is returned while VMs are due, because a blocked wave would ask for it again. A borrowed VM stays for at least `spare_hold_s`, so that it does not move to and fro.
+    No VM is returned while VMs are due for maintenance, because a blocked wave would request it
+    again. A borrowed VM stays for at least `spare_hold_s`, so that it does not move back and forth.
     """
     if list_due(snapshot, vms) and snapshot.policy.maintenance_enabled:
         return []
@@ -92,10 +93,13 @@
     return [begin_move(vm, vm.home_pool, snapshot.now_s, cause) for vm in returning]
 
 
-def _find_source(
+def _choose_spare_pool(
     snapshot: PoolSnapshot, asked: dict[str, int], wanted: Mapping[str, int]
 ) -> str | None:
-    """Return the spare pool to ask: one already asked, else the one with the most free VMs."""
+    """Return the spare pool to request VMs from.
+
+    This is one with a request still open, otherwise the one with the most free VMs.
+    """
     pending = sorted(pool for pool, count in asked.items() if count > wanted.get(pool, 0))
     if pending and snapshot.free_spares.get(pending[0], 0):
         return pending[0]
--- a/comfreywind/decisions/pools/vm_change.py
+++ b/comfreywind/decisions/pools/vm_change.py
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class VmChange:
-    """The row before and after, with the kind of decision, its cause and its inputs.
+    """The row before and after the change, with the kind, cause and inputs of the decision.
 
-    `after` is None when the row is deleted.
+    `after` is None if the row is deleted.
     """
 
     kind: str
--- a/comfreywind/decisions/pools/vm_health.py
+++ b/comfreywind/decisions/pools/vm_health.py
@@ -1,14 +1,14 @@
-"""What an entry has observed of a VM."""
+"""The health of a VM as an entry observes it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class VmHealth:
-    """Whether a VM works, and for how long this has been so without a break.
+    """Whether a VM works, and for how many seconds this has been so without a break.
 
-    A VM works when the platform lists it as live and it accepts connections. `listed` tells whether
-    it is on the list at all; `incarnation` is the one on the list, 0 when it is not listed.
+    A VM works if the platform lists it as live and it accepts connections. `listed` tells whether
+    it is on the VM list in any state; `incarnation` is that on the list, 0 if it is not listed.
     """
 
     works: bool
--- a/comfreywind/decisions/pools/vm_steps.py
+++ b/comfreywind/decisions/pools/vm_steps.py
@@ -1,4 +1,4 @@
-"""The steps of a VM between its states: failure, recovery, planned stop and move."""
+"""State transitions of a VM: failure, recovery, planned stop and move."""
 
 from dataclasses import replace
 
@@ -9,42 +9,43 @@
 
 
 def begin_stop(vm: PoolVm, now_s: float, cause: str, **inputs: object) -> VmChange:
-    """Drain an active VM for a planned stop."""
+    """Return the change that starts to drain an active VM for a planned stop."""
     after = replace(vm, state=VmState.DRAINING, move_to=None, since_s=now_s)
     return VmChange('stop', vm, after, cause, inputs)
 
 
 def begin_move(vm: PoolVm, pool: str, now_s: float, cause: str, **inputs: object) -> VmChange:
-    """Drain an active VM for a move to another pool."""
+    """Return the change that starts to drain an active VM for a move to another pool."""
     after = replace(vm, state=VmState.DRAINING, move_to=pool, since_s=now_s)
     return VmChange('move', vm, after, cause, inputs)
 
 
 def cancel_drain(vm: PoolVm, now_s: float, cause: str, **inputs: object) -> VmChange:
-    """Return a draining VM to work."""
+    """Return the change that makes a draining VM active again."""
     after = replace(vm, state=VmState.ACTIVE, move_to=None, since_s=now_s)
     return VmChange('stop' if vm.move_to is None else 'move', vm, after, cause, inputs)
 
 
 def observe_vm(vm: PoolVm, snapshot: PoolSnapshot) -> VmChange | None:
-    """Return the step that the observations of the VM ask for, or None."""
+    """Return the change that the observed health of the VM requires, or None."""
     health = snapshot.health.get(vm.name)
     if health is None:
         return None
-    if _is_retired(health, snapshot):
+    if _is_off_list_too_long(health, snapshot):
         return VmChange('failure', vm, None, 'the VM has been off the list for too long')
     if vm.state == VmState.REBOOTING:
-        return _finish_reboot(vm, health, snapshot)
+        return _detect_reboot_end(vm, health, snapshot)
     if vm.state == VmState.SUSPECT:
-        return _clear_suspicion(vm, health, snapshot)
-    return _doubt(vm, health, snapshot)
+        return _detect_recovery(vm, health, snapshot)
+    return _mark_suspect(vm, health, snapshot)
 
 
 def finish_drain(vm: PoolVm, snapshot: PoolSnapshot) -> VmChange:
-    """Begin the reboot of a drained VM, or change its pool.
+    """Return the change that starts the reboot of a drained VM, or that moves it to its new pool.
 
-    The row keeps the incarnation that is to be replaced: a reboot call for another incarnation is
-    refused by the platform, so that a late call of a paused holder does not stop a working VM.
+    The row records the incarnation that the reboot is to replace. The platform refuses a reboot
+    call for another incarnation, so that a late call of a paused holder can't stop a VM that works
+    again.
     """
     now_s = snapshot.now_s
     cause = 'no work runs on the VM and no member sends it any'
@@ -64,7 +65,7 @@
     return VmChange('stop', vm, after, cause)
 
 
-def _doubt(vm: PoolVm, health: VmHealth, snapshot: PoolSnapshot) -> VmChange | None:
+def _mark_suspect(vm: PoolVm, health: VmHealth, snapshot: PoolSnapshot) -> VmChange | None:
     if health.works or health.for_s < snapshot.policy.doubt_s:
         return None
     after = replace(vm, state=VmState.SUSPECT, move_to=None, since_s=snapshot.now_s)
@@ -72,14 +73,15 @@
     return VmChange('failure', vm, after, cause, {'for_s': round(health.for_s, 3)})
 
 
-def _is_retired(health: VmHealth, snapshot: PoolSnapshot) -> bool:
+def _is_off_list_too_long(health: VmHealth, snapshot: PoolSnapshot) -> bool:
     return not health.listed and health.for_s >= snapshot.policy.retire_s
 
 
-def _finish_reboot(vm: PoolVm, health: VmHealth, snapshot: PoolSnapshot) -> VmChange | None:
-    """Return the VM to work once it has a higher incarnation.
+def _detect_reboot_end(vm: PoolVm, health: VmHealth, snapshot: PoolSnapshot) -> VmChange | None:
+    """Return the change that makes a rebooted VM active once it has a higher incarnation.
 
-    Before that it stays out, however long it takes: the reboot call may still be on its way.
+    Until then the VM stays out of use, however long it takes: the reboot call may be delayed and
+    still stop it.
     """
     if not health.works or health.incarnation <= vm.incarnation:
         return None
@@ -96,8 +98,11 @@
     return VmChange('stop', vm, after, cause, {'duration_s': duration_s})
 
 
-def _clear_suspicion(vm: PoolVm, health: VmHealth, snapshot: PoolSnapshot) -> VmChange | None:
-    """Return an unbroken VM to work after `suspect_s`, so that a flapping one stays out."""
+def _detect_recovery(vm: PoolVm, health: VmHealth, snapshot: PoolSnapshot) -> VmChange | None:
+    """Return the change that makes a suspect VM active after it has worked for `suspect_s`.
+
+    The wait keeps a flapping VM out of use.
+    """
     if not health.works or health.for_s < snapshot.policy.suspect_s:
         return None
     after = replace(
--- a/comfreywind/decisions/pools/wave.py
+++ b/comfreywind/decisions/pools/wave.py
@@ -1,4 +1,4 @@
-"""Which VMs a maintenance wave stops next."""
+"""Decides which VMs a maintenance wave stops next."""
 
 import enum
 from collections.abc import Callable, Collection
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """State of the wave, why it is so, the domain that it is in and how many VMs are due."""
+    """The state of a wave and its cause, its current failure domain and the number of VMs due."""
 
     state: WaveState
     cause: str
@@ -32,16 +32,17 @@
 
 
 def is_due(vm: PoolVm, policy: PoolPolicy, now_s: float) -> bool:
-    """Return whether the VM is to be maintained now.
+    """Return whether the VM is due for maintenance.
 
-    A wave starts `maintenance_lead_s` before the period ends, so that pauses don't make it late.
+    It is due `maintenance_lead_s` before the end of the period, so that pauses of the wave don't
+    make it overdue.
     """
     start_after_s = policy.maintenance_period_s - policy.maintenance_lead_s
     return now_s - vm.last_maintained_s >= start_after_s
 
 
 def list_due(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> list[PoolVm]:
-    """Return the active, working VMs that are due, the longest unmaintained first."""
+    """Return the active, working VMs that are due, the one maintained longest ago first."""
     failing = snapshot.find_failing()
     due = [
         vm
@@ -55,7 +56,7 @@
 
 
 def find_wave_domain(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> str | None:
-    """Return the failure domain of the stops under way, else of the VM that is due first."""
+    """Return the failure domain of the stops under way, otherwise that of the first VM due."""
     policy = snapshot.policy
     stopping = sorted(find_domain(vm, policy) for vm in vms if vm.stopping)
     if stopping:
@@ -65,10 +66,10 @@
 
 
 def choose_stops(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[PoolVm]:
-    """Return the VMs to stop now: those due in one failure domain, as the budget allows.
+    """Return the VMs to stop now: those due in one failure domain, as many as the budget allows.
 
-    Each stop is checked against the budget that the earlier ones leave, because a stop in the
-    largest failure domain also lowers the loss that has to be tolerated.
+    The budget is computed anew for each stop, because a stop in the largest failure domain also
+    lowers the number of VMs whose loss must be tolerated.
     """
     domain = find_wave_domain(snapshot, vms)
     failing = snapshot.find_failing()
@@ -84,7 +85,7 @@
 
 
 def describe_wave(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> Wave:
-    """Return the state of the wave over these VMs."""
+    """Return the state of the maintenance wave of the pool."""
     policy = snapshot.policy
     if not policy.maintenance_enabled:
         return Wave(WaveState.OFF, 'maintenance is disabled in the bundle')
--- a/comfreywind/decisions/portions/__init__.py
+++ b/comfreywind/decisions/portions/__init__.py
@@ -1,1 +1,5 @@
-"""The portion protocol of section 5.1 of docs/design.md: keeps ceilings without a write a request."""
+"""The portion protocol (docs/design.md, 5.1).
+
+Entries hold portions of each team's ceiling, so that a request can start without a write to the
+store.
+"""
--- a/comfreywind/decisions/portions/fence_case.py
+++ b/comfreywind/decisions/portions/fence_case.py
@@ -1,4 +1,4 @@
-"""A member's attempt to fence a holder that doesn't renew."""
+"""An attempt of a member to fence a holder that does not renew its session."""
 
 from dataclasses import dataclass, replace
 
@@ -10,9 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceCase:
-    """The holder, its renewal number, when this entry first saw that, and who agreed.
+    """The state of an attempt to fence a holder.
 
-    An agreement is the agreeing holder and, by resource, its flows with the fenced holder.
+    `first_seen_s` is the monotonic time at which this entry first saw `renewal_number`.
+    `agreements` are the members that agreed to the fence, each with its flows to and from the
+    holder by resource.
     """
 
     holder: str
@@ -22,12 +24,12 @@
 
 
 def is_expired(case: FenceCase, timing: SessionTiming, now_s: float) -> bool:
-    """Return whether the session from that renewal has ended for certain."""
+    """Return whether the session that began with the renewal has certainly ended."""
     return now_s >= case.first_seen_s + timing.observed_ttl_s
 
 
 def add_agreement(case: FenceCase, renewal_number: int, agreement: Agreement) -> FenceCase:
-    """Return the case with the agreement, unless that is for another renewal number."""
+    """Return the attempt with the agreement; one for another renewal number is ignored."""
     if renewal_number != case.renewal_number:
         return case
     others = [known for known in case.agreements if known[0] != agreement[0]]
@@ -35,12 +37,12 @@
 
 
 def list_missing(case: FenceCase, members: frozenset[str]) -> frozenset[str]:
-    """Return the members whose agreement is still needed."""
+    """Return the members that have not agreed yet."""
     return members - {case.holder} - {name for name, _ in case.agreements}
 
 
 def collect_flows(case: FenceCase) -> dict[str, Totals]:
-    """Return all reported flows of the holder by resource."""
+    """Return the flows to and from the holder that the members reported, by resource."""
     flows: dict[str, Totals] = {}
     for _, resources in case.agreements:
         for resource, totals in resources:
--- a/comfreywind/decisions/portions/guard.py
+++ b/comfreywind/decisions/portions/guard.py
@@ -1,4 +1,4 @@
-"""What an entry knows about its own session and has promised to others."""
+"""The session of an entry, and its promises and agreements about the sessions of others."""
 
 from dataclasses import dataclass
 
@@ -8,11 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """Session and promises of one incarnation; all times are monotonic seconds of this entry.
+    """Session of one incarnation of an entry; times are monotonic, in seconds.
 
-    `granted` maps a holder to the end of the promise to it, `commitments` maps a holder to the renewal
-    number under which this entry agreed to its fence. Before `silent_until_s` no fence query is
-    answered, because an earlier process of this name may have made a promise.
+    `granted` maps each holder that this entry gave a promise to the time at which the promise ends.
+    `commitments` maps each holder to whose fence this entry agreed to the renewal number that the
+    agreement is for. No fence query is answered before `silent_until_s`, because an earlier process
+    of this name may have given a promise that is still valid.
     """
 
     holder: str
@@ -26,10 +27,10 @@
 
 
 def is_session_valid(guard: Guard, now_s: float) -> bool:
-    """Return whether the entry may start work and give promises or units."""
+    """Return whether the entry may start work, give promises and give units."""
     return not guard.fenced and now_s < guard.valid_until_s
 
 
 def is_committed(guard: Guard, holder: str) -> bool:
-    """Return whether the entry agreed to fence the holder; it then trades no units with it."""
+    """Return whether the entry agreed to fence the holder; it then exchanges no units with it."""
     return any(name == holder for name, _ in guard.commitments)
--- a/comfreywind/decisions/portions/guard_effects.py
+++ b/comfreywind/decisions/portions/guard_effects.py
@@ -1,30 +1,30 @@
-"""Effects of the events on a guard."""
+"""Messages that an entry sends as the effect of a session event."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class GuardEffect:
-    """Base class of the effects."""
+    """Base class of the effects of session events."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrantPromise(GuardEffect):
-    """Tell the holder that its session is extended."""
+    """Promise the holder not to agree to its fence while its extended session lasts."""
 
     holder: str
 
 
 @dataclass(frozen=True, slots=True)
 class RefusePromise(GuardEffect):
-    """Tell the holder that it must ask another member or the store."""
+    """Refuse the promise; the holder must ask another member or renew in the store."""
 
     holder: str
 
 
 @dataclass(frozen=True, slots=True)
 class AgreeToFence(GuardEffect):
-    """Tell the asking member that this entry agrees, with all flows between it and the holder."""
+    """Agree to the fence of the holder, and report all flows between this entry and the holder."""
 
     holder: str
     renewal_number: int
--- a/comfreywind/decisions/portions/guard_events.py
+++ b/comfreywind/decisions/portions/guard_events.py
@@ -1,16 +1,16 @@
-"""Events that change a guard."""
+"""Events that change the session state of an entry."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class GuardEvent:
-    """Base class of the events."""
+    """Base class of the session events."""
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalConfirmed(GuardEvent):
-    """The store holds this entry's renewal, whose write was sent at `sent_s`."""
+    """The store has applied this entry's renewal; its write was sent at `sent_s`."""
 
     sent_s: float
     renewal_number: int
@@ -18,18 +18,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseReceived(GuardEvent):
-    """A member granted the promise that was asked for at `asked_s`."""
+    """A member granted the promise that this entry requested at `asked_s`."""
 
     asked_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class PromiseAsked(GuardEvent):
-    """A holder asks for a promise and states the highest renewal number that the store confirmed.
+    """A holder requests a promise.
 
-    `is_member` tells that a read of the members, made after this entry had joined, shows the holder
-    as not fenced. An entry that joined after the fence was not asked to agree to it, so without such
-    a read it could extend the session of a fenced holder.
+    `renewal_number` is its highest renewal that the store has confirmed. `is_member` is True if the
+    members, read after this entry had joined, include the holder as not fenced. Without that read,
+    an entry that joined after a fence, and so was not asked to agree to it, could extend the
+    session of the fenced holder.
     """
 
     holder: str
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceAsked(GuardEvent):
-    """A member asks to agree to the fence of a holder at a renewal number."""
+    """A member asks this entry to agree to the fence of a holder that stopped at this renewal."""
 
     holder: str
     renewal_number: int
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalSeen(GuardEvent):
-    """The store shows a renewal of another holder."""
+    """This entry has read a renewal of another holder from the store."""
 
     holder: str
     renewal_number: int
@@ -57,4 +58,4 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceSeen(GuardEvent):
-    """The store shows that this incarnation was fenced."""
+    """This entry has read from the store that its own incarnation was fenced."""
--- a/comfreywind/decisions/portions/guard_step.py
+++ b/comfreywind/decisions/portions/guard_step.py
@@ -1,4 +1,4 @@
-"""Transitions of a guard: an event and a state give a new state and effects."""
+"""Transitions of the session state: an event and a state give a new state and effects."""
 
 from dataclasses import replace
 from functools import singledispatch
@@ -26,35 +26,35 @@
 
 @singledispatch
 def apply_guard_event(event: GuardEvent, guard: Guard) -> GuardStep:
-    """Return the guard after the event, and what to send."""
-    raise TypeError(f'no transition for {type(event).__name__}')
+    """Return the session state after the event, and the messages to send."""
+    raise TypeError(f'no transition is registered for the event {type(event).__name__}')
 
 
 @apply_guard_event.register
-def _confirm_renewal(event: RenewalConfirmed, guard: Guard) -> GuardStep:
-    extended = _extend(guard, event.sent_s)
+def _handle_renewal_confirmed(event: RenewalConfirmed, guard: Guard) -> GuardStep:
+    extended = _extend_session(guard, event.sent_s)
     number = max(guard.renewal_number, event.renewal_number)
     return replace(extended, renewal_number=number), ()
 
 
 @apply_guard_event.register
-def _receive_promise(event: PromiseReceived, guard: Guard) -> GuardStep:
-    return _extend(guard, event.asked_s), ()
+def _handle_promise_received(event: PromiseReceived, guard: Guard) -> GuardStep:
+    return _extend_session(guard, event.asked_s), ()
 
 
 @apply_guard_event.register
-def _answer_promise_request(event: PromiseAsked, guard: Guard) -> GuardStep:
-    known = _lift_commitment(guard, event.holder, event.renewal_number)
-    committed = any(name == event.holder for name, _ in known.commitments)
-    if committed or not event.is_member or not is_session_valid(known, event.now_s):
-        return known, (RefusePromise(event.holder),)
-    until_s = event.now_s + known.timing.observed_ttl_s
-    granted = raise_total(_list_unexpired(known, event.now_s), event.holder, until_s)
-    return replace(known, granted=granted), (GrantPromise(event.holder),)
+def _handle_promise_request(event: PromiseAsked, guard: Guard) -> GuardStep:
+    current = _drop_outdated_commitment(guard, event.holder, event.renewal_number)
+    committed = any(name == event.holder for name, _ in current.commitments)
+    if committed or not event.is_member or not is_session_valid(current, event.now_s):
+        return current, (RefusePromise(event.holder),)
+    until_s = event.now_s + current.timing.observed_ttl_s
+    granted = raise_total(_list_unexpired(current, event.now_s), event.holder, until_s)
+    return replace(current, granted=granted), (GrantPromise(event.holder),)
 
 
 @apply_guard_event.register
-def _answer_fence_query(event: FenceAsked, guard: Guard) -> GuardStep:
+def _handle_fence_request(event: FenceAsked, guard: Guard) -> GuardStep:
     if guard.fenced or event.now_s < guard.silent_until_s:
         return guard, ()
     granted = _list_unexpired(guard, event.now_s)
@@ -66,26 +66,26 @@
 
 
 @apply_guard_event.register
-def _see_renewal(event: RenewalSeen, guard: Guard) -> GuardStep:
-    return _lift_commitment(guard, event.holder, event.renewal_number), ()
+def _handle_observed_renewal(event: RenewalSeen, guard: Guard) -> GuardStep:
+    return _drop_outdated_commitment(guard, event.holder, event.renewal_number), ()
 
 
 @apply_guard_event.register
-def _see_fence(event: FenceSeen, guard: Guard) -> GuardStep:
+def _handle_observed_fence(event: FenceSeen, guard: Guard) -> GuardStep:
     return replace(guard, fenced=True), ()
 
 
-def _extend(guard: Guard, counted_from_s: float) -> Guard:
+def _extend_session(guard: Guard, counted_from_s: float) -> Guard:
     until_s = counted_from_s + guard.timing.ttl_s
     return replace(guard, valid_until_s=max(guard.valid_until_s, until_s))
 
 
-def _lift_commitment(guard: Guard, holder: str, renewal_number: int) -> Guard:
-    """Forget the agreement to a fence that can't succeed any more, as the holder has renewed."""
+def _drop_outdated_commitment(guard: Guard, holder: str, renewal_number: int) -> Guard:
+    """Drop the agreement to a fence that can no longer succeed because the holder has renewed."""
     if read_total(guard.commitments, holder) >= renewal_number:
         return guard
-    kept = tuple(pair for pair in guard.commitments if pair[0] != holder)
-    return replace(guard, commitments=kept)
+    remaining = tuple(pair for pair in guard.commitments if pair[0] != holder)
+    return replace(guard, commitments=remaining)
 
 
 def _list_unexpired(guard: Guard, now_s: float) -> Totals:
--- a/comfreywind/decisions/portions/ledger.py
+++ b/comfreywind/decisions/portions/ledger.py
@@ -1,4 +1,4 @@
-"""What one entry holds of one resource."""
+"""The units of one resource that one entry holds."""
 
 from dataclasses import dataclass
 
@@ -8,11 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Ledger:
-    """The newest row seen and the flows of this entry, in units.
+    """The newest known version of the portion row, and the flows from and to this entry.
 
-    `given` and `received` map holders to all units ever traded with them. `returning_units` are part of
-    a write on condition of `pending_version` whose outcome is not known yet: they stay out of use
-    until the row has a higher version, because a delayed write may still take effect before that.
+    `given` and `received` map each holder to the total units ever given to it and received from it.
+    `returning_units` are being returned by a write that is conditional on `pending_version` and
+    whose outcome is not known. They can't be used until the row has a higher version, because the
+    write may be delayed and take effect at any time before that.
     """
 
     holder: str
--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -1,4 +1,4 @@
-"""Transitions of a ledger."""
+"""Computations on a ledger and its state transitions."""
 
 from dataclasses import replace
 
@@ -10,7 +10,11 @@
 
 
 def count_held_units(ledger: Ledger) -> int:
-    """Return recorded + received and unrecorded - given and unrecorded - being returned."""
+    """Return the units that this entry holds.
+
+    These are the units recorded in the row, plus those received and not yet recorded, less those
+    given and not yet recorded, less those being returned.
+    """
     if is_settled(ledger.row.settled, ledger.holder):
         return 0
     held = read_total(ledger.row.recorded, ledger.holder) - ledger.returning_units
@@ -23,8 +27,9 @@
 def is_blocked(ledger: Ledger, ceiling_units: int, bundle_version: int) -> bool:
     """Return whether no work may start because the ceiling was lowered.
 
-    After a bundle lowered the ceiling, the sum in an older row may be out of date; it is trusted only
-    when the row itself has the new ceiling, as nothing is taken under that while the sum is above.
+    After a bundle has lowered the ceiling, a row that still has the old one may be out of date, and
+    more units than it shows may be allocated. Its sum is trusted only when the row has the new
+    ceiling: from then on no free units are allocated while the sum exceeds the ceiling.
     """
     row = ledger.row
     if bundle_version > row.ceiling_version and ceiling_units < row.ceiling_units:
@@ -33,7 +38,10 @@
 
 
 def see_row(ledger: Ledger, row: PortionRow, version: int) -> Ledger:
-    """Return the ledger with a newer row; flows with settled holders are part of it already."""
+    """Return the ledger with the row, unless a newer one is known.
+
+    Flows with settled holders are dropped from the ledger, because the row includes them.
+    """
     if version <= ledger.row_version:
         return ledger
     received = ledger.received
@@ -54,29 +62,32 @@
 
 
 def give_units(ledger: Ledger, receiver: str, units: int) -> Ledger:
-    """Return the ledger after units were given; the new total goes to the receiver until it has it."""
+    """Return the ledger after units were given to the receiver.
+
+    The caller sends the new total to the receiver until the receiver has confirmed it.
+    """
     return replace(ledger, given=add_total(ledger.given, receiver, units))
 
 
 def receive_units(ledger: Ledger, giver: str, total: int) -> Ledger:
-    """Return the ledger after the giver stated its total; a repeated or older total adds nothing."""
+    """Return the ledger after the giver sent its total; a repeated or older one changes nothing."""
     if is_settled(ledger.row.settled, giver):
         return ledger
     return replace(ledger, received=raise_total(ledger.received, giver, total))
 
 
 def start_write(ledger: Ledger, returning_units: int) -> Ledger:
-    """Return the ledger while a write on condition of the row seen is under way."""
+    """Return the ledger with a write pending that is conditional on the known row version."""
     return replace(ledger, returning_units=returning_units, pending_version=ledger.row_version)
 
 
 def clear_write(ledger: Ledger) -> Ledger:
-    """Return the ledger after a write was refused for certain."""
+    """Return the ledger after the pending write was certainly refused."""
     return replace(ledger, returning_units=0, pending_version=None)
 
 
 def list_flows(ledger: Ledger) -> Totals:
-    """Return all flows from and to this entry."""
+    """Return the total units of all flows from and to this entry."""
     given = [(make_flow(ledger.holder, peer), total) for peer, total in ledger.given]
     received = [(make_flow(peer, ledger.holder), total) for peer, total in ledger.received]
     return tuple(sorted([*given, *received]))
@@ -88,10 +99,11 @@
 
 
 def record_flows(ledger: Ledger) -> PortionRow:
-    """Return the row with all units that this entry received or gave recorded.
+    """Return the row with all flows from and to this entry recorded.
 
-    Recording only what was received would make the giver's figure negative when it had received units
-    that it has not recorded yet, and overstate what has to be reclaimed from this entry.
+    If only received units were recorded, the giver's units would become negative when it had given
+    units that it received and has not recorded yet, and more than needed would be reclaimed from
+    this entry.
     """
     row = ledger.row
     for flow, total in list_flows(ledger):
--- a/comfreywind/decisions/portions/portion_row.py
+++ b/comfreywind/decisions/portions/portion_row.py
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PortionRow:
-    """Allocation of a ceiling.
+    """Allocation of the units of a ceiling to holders.
 
-    `ceiling_version` is the bundle version that the ceiling is from. `recorded` maps holders to units.
-    `flows` maps `giver>receiver` to all units ever given that are part of `recorded`; a total that only
-    grows can be recorded twice without harm. `settled` maps entry names to the highest incarnation
-    whose units were moved to `reclaiming` or returned.
+    `ceiling_version` is the bundle version that the ceiling comes from. `recorded` maps holders to
+    the units that they hold. `flows` maps `giver>receiver` to the total units ever given that
+    `recorded` includes; such a total never falls, so recording it twice has no effect. `settled`
+    maps entry names to the highest incarnation whose units were moved to `reclaiming` or returned.
     """
 
     ceiling_units: int = 0
@@ -25,10 +25,10 @@
 
     @property
     def allocated_units(self) -> int:
-        """Return the units that are not free."""
+        """Return the units that holders have or that are being reclaimed."""
         return sum_totals(self.recorded) + sum(reclaim.units for reclaim in self.reclaiming)
 
     @property
     def free_units(self) -> int:
-        """Return the units that may be taken; negative after the ceiling was lowered."""
+        """Return the units that may be allocated; negative after the ceiling was lowered."""
         return self.ceiling_units - self.allocated_units
--- a/comfreywind/decisions/portions/reclaim.py
+++ b/comfreywind/decisions/portions/reclaim.py
@@ -1,13 +1,14 @@
-"""Units of a holder that was fenced."""
+"""Units that are being reclaimed from a fenced holder."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Reclaim:
-    """Units that become free `wait_s` after an entry first saw this record in the row.
+    """Units of a fenced holder that become free after a wait.
 
-    Work that the holder started just before its fence may run for that long.
+    The wait of `wait_s` starts when an entry first sees this record in the row. Work that the
+    holder started just before its fence may run for that long.
     """
 
     holder: str
--- a/comfreywind/decisions/portions/row_changes.py
+++ b/comfreywind/decisions/portions/row_changes.py
@@ -1,4 +1,4 @@
-"""Changes of a portion row; each one is written on condition of the row's version."""
+"""Changes of a portion row; each is written conditionally on the version of the row."""
 
 from dataclasses import replace
 
@@ -9,11 +9,11 @@
 
 
 def record_flow(row: PortionRow, flow: str, total: int) -> PortionRow:
-    """Return the row with all units of the flow up to the total moved to the receiver.
+    """Return the row with the units of the flow, up to the total, moved to the receiver.
 
-    A flow with a settled party is left out. Its units are in `reclaiming` with the giver: either the
-    flow was reported and recorded when the giver was fenced, or the receiver had ended before that, so
-    that the wait for the giver's units covers the receiver's work.
+    A flow whose giver or receiver is settled is not recorded. Either it was reported and recorded
+    when the giver was fenced, or its units are reclaimed with those of the giver. In that case the
+    receiver had ended before, so the wait for the giver's units covers the work of the receiver.
     """
     units = total - int(read_total(row.flows, flow))
     giver, receiver = split_flow(flow)
@@ -24,7 +24,11 @@
 
 
 def take_free_units(row: PortionRow, holder: str, wanted_units: int) -> PortionRow:
-    """Return the row with at most half of the free units, but at least one, given to the holder."""
+    """Return the row with free units allocated to the holder.
+
+    The holder gets at most half of the free units, but at least one, so that some remain for other
+    holders.
+    """
     if row.free_units <= 0 or wanted_units <= 0:
         return row
     units = min(wanted_units, max(1, row.free_units // 2))
@@ -32,22 +36,22 @@
 
 
 def return_units(row: PortionRow, holder: str, units: int) -> PortionRow:
-    """Return the row with units of the holder made free."""
+    """Return the row with some units of the holder free again."""
     return replace(row, recorded=add_total(row.recorded, holder, -units))
 
 
 def set_ceiling(row: PortionRow, ceiling_units: int, bundle_version: int) -> PortionRow:
-    """Return the row with the ceiling of the bundle, unless the row has that of a later one."""
+    """Return the row with the ceiling of the bundle, unless it has that of a newer bundle."""
     if bundle_version <= row.ceiling_version or ceiling_units == row.ceiling_units:
         return row
     return replace(row, ceiling_units=ceiling_units, ceiling_version=bundle_version)
 
 
 def settle_holder(row: PortionRow, holder: str, flows: Totals, wait_s: float) -> PortionRow:
-    """Return the row with all flows of a fenced holder recorded and its units to be reclaimed.
+    """Return the row with the flows of a fenced holder recorded and its units being reclaimed.
 
-    A negative remainder comes from units received of a member that was lost as well; it is dropped,
-    so that the units stay counted with that member.
+    The units are negative if the holder gave away units that it had received from another lost
+    member. They are then dropped, because the units still count as that member's.
     """
     for flow, total in flows:
         row = record_flow(row, flow, int(total))
@@ -66,13 +70,13 @@
 
 
 def finish_reclaim(row: PortionRow, reclaim: Reclaim) -> PortionRow:
-    """Return the row with the units of the reclaim free."""
-    kept = tuple(record for record in row.reclaiming if record != reclaim)
-    return replace(row, reclaiming=kept)
+    """Return the row with the reclaimed units free."""
+    remaining = tuple(other for other in row.reclaiming if other != reclaim)
+    return replace(row, reclaiming=remaining)
 
 
 def mentions_holder(row: PortionRow, holder: str) -> bool:
-    """Return whether the holder has units or flows in the row."""
+    """Return whether the row records units or flows of the holder."""
     if any(name == holder for name, _ in row.recorded):
         return True
     return any(holder in split_flow(flow) for flow, _ in row.flows)
--- a/comfreywind/decisions/portions/session_timing.py
+++ b/comfreywind/decisions/portions/session_timing.py
@@ -1,16 +1,16 @@
-"""Times that the validity of sessions depends on."""
+"""Timing parameters of sessions."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class SessionTiming:
-    """Time to live of a session and by how much the rates of two clocks may differ."""
+    """Time to live of a session, and the ratio by which the rates of two clocks may differ."""
 
     ttl_s: float
     drift_ratio: float
 
     @property
     def observed_ttl_s(self) -> float:
-        """Return how long another entry waits to be sure that a session has ended."""
+        """Return the time after which another entry can be sure that a session has ended."""
         return self.ttl_s * (1 + self.drift_ratio)
--- a/comfreywind/decisions/portions/totals.py
+++ b/comfreywind/decisions/portions/totals.py
@@ -1,11 +1,11 @@
-"""Small sorted maps from a name to a number, hashable so that the model checker can store them."""
+"""Immutable maps from names to numbers, hashable so that the model checker can store them."""
 
 Number = int | float
 Totals = tuple[tuple[str, Number], ...]
 
 
 def read_total(totals: Totals, key: str) -> Number:
-    """Return the number under the key, 0 for a missing key."""
+    """Return the number of the key, 0 for a missing key."""
     for name, number in totals:
         if name == key:
             return number
@@ -13,7 +13,7 @@
 
 
 def set_total(totals: Totals, key: str, number: Number) -> Totals:
-    """Return the map with the number under the key; 0 removes the key."""
+    """Return the map with the number set for the key; 0 removes the key."""
     others = [pair for pair in totals if pair[0] != key]
     if number != 0:
         others.append((key, number))
@@ -21,12 +21,12 @@
 
 
 def raise_total(totals: Totals, key: str, number: Number) -> Totals:
-    """Return the map with at least the number under the key."""
+    """Return the map with the number of the key raised to at least the given one."""
     return set_total(totals, key, max(number, read_total(totals, key)))
 
 
 def add_total(totals: Totals, key: str, number: Number) -> Totals:
-    """Return the map with the number added under the key."""
+    """Return the map with the given number added to that of the key."""
     return set_total(totals, key, read_total(totals, key) + number)
 
 
--- a/comfreywind/decisions/portions/unit_shares.py
+++ b/comfreywind/decisions/portions/unit_shares.py
@@ -1,11 +1,11 @@
-"""Decides how two entries divide the units of a team between them."""
+"""Decides how two entries divide the units of a team between each other."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class UnitDemand:
-    """Units that an entry holds, and units that its running and waiting requests need."""
+    """The units that an entry holds and those that its running and waiting requests need."""
 
     held_units: int
     demand_units: int
@@ -14,11 +14,12 @@
 def decide_transfer(
     own: UnitDemand, asking: UnitDemand, wanted_units: int, is_turn_over: bool
 ) -> int:
-    """Return how many units the asked entry gives, now or as its work ends.
+    """Return how many units this entry gives to the asking one, at once or as its work ends.
 
-    It gives what it doesn't need itself, and beyond that as much as leaves both with units in
-    proportion to their demand; rounding down keeps the last unit from moving to and fro. When that
-    leaves the asking entry without any, the entries take turns, so that none of them starves.
+    It gives the units that it does not need. If they are not enough, it gives so many that the
+    units of both are in proportion to their demand, rounded down so that the last unit does not
+    move back and forth. If the asking entry would be left with none, the two use the last unit in
+    turns, so that neither starves; `is_turn_over` tells that the turn of this entry has ended.
     """
     spare_units = max(0, own.held_units - own.demand_units)
     if spare_units >= wanted_units:
--- a/comfreywind/decisions/refusal.py
+++ b/comfreywind/decisions/refusal.py
@@ -7,7 +7,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What a caller may conclude from a response."""
+    """What a caller may conclude from a response: whether the request has run."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'not-run'
@@ -15,7 +15,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Reason of a refusal: its problem name, HTTP status and title."""
+    """Reason of a refusal, with its problem type, HTTP status and title."""
 
     KEY_MISSING = ('key-missing', 401, 'A key is needed')
     KEY_UNKNOWN = ('key-unknown', 401, 'The key is not known or was withdrawn')
@@ -42,7 +42,7 @@
     TARGET_TIMEOUT = ('target-timeout', 504, 'The target did not answer in time')
 
     def __init__(self, problem: str, status: int, title: str) -> None:
-        """Name the parts of the value."""
+        """Set the elements of the value as attributes."""
         self.problem = problem
         self.status = status
         self.title = title
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final refusal of one request; `retry_after_s` is None where a repeat can't help."""
+    """A final refusal of a request; `retry_after_s` is None if a retry can't help."""
 
     reason: RefusalReason
     detail: str
@@ -58,7 +58,7 @@
     retry_after_s: float | None = None
 
     def to_document(self, request_id: str) -> dict[str, object]:
-        """Return the problem details document."""
+        """Return the problem details document for the body of the response."""
         document: dict[str, object] = {
             'type': f'{PROBLEM_TYPE_PREFIX}{self.reason.problem}',
             'title': self.reason.title,
--- a/comfreywind/decisions/retry.py
+++ b/comfreywind/decisions/retry.py
@@ -1,4 +1,4 @@
-"""Decides whether a request that has failed at a target is sent again."""
+"""Decides whether a request is sent again after a failed attempt."""
 
 import enum
 from dataclasses import dataclass
@@ -6,9 +6,9 @@
 from comfreywind.decisions.attempt import Attempt, AttemptEnd, find_outcome
 from comfreywind.decisions.refusal import Outcome
 
-TARGETS_LIMIT = 3
-# Less time than this is not enough for another attempt, so the caller gets its answer now.
-SHORTEST_ATTEMPT_S = 0.005
+MAX_FAILURES = 3
+# With less time than this before the deadline, another attempt would not finish.
+MIN_ATTEMPT_S = 0.005
 
 
 class RetryDecision(enum.Enum):
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryContext:
-    """What the decision depends on besides the attempt; `failures` includes the attempt."""
+    """What the decision depends on besides the attempt.
+
+    `failures` is the number of failed attempts of the request, this one included. `budget_left`
+    tells whether the retry budget allows one more retry.
+    """
 
     idempotent: bool
     failures: int
@@ -34,25 +38,25 @@
 def decide_retry(attempt: Attempt, context: RetryContext) -> RetryDecision:
     """Return what to do after the attempt.
 
-    A request that has certainly not run may be repeated for every method; any other only when it
+    A request that has certainly not run may be repeated whatever its method; any other only if it
     is idempotent. A request that a busy target has refused goes back to the front of its queue and
     is not charged to the retry budget: it costs the target nothing, and the dispatcher holds it
-    back until some target has room.
+    back until some target has free capacity.
     """
-    if attempt.end is AttemptEnd.ANSWERED or context.time_left_s < SHORTEST_ATTEMPT_S:
+    if attempt.end is AttemptEnd.ANSWERED or context.time_left_s < MIN_ATTEMPT_S:
         return RetryDecision.FINISH
     if attempt.end is AttemptEnd.REFUSED:
         return RetryDecision.QUEUE_AGAIN
-    may_repeat = context.idempotent or find_outcome(attempt) is Outcome.NOT_RUN
-    if not may_repeat or not context.budget_left or context.failures >= TARGETS_LIMIT:
+    is_repeatable = context.idempotent or find_outcome(attempt) is Outcome.NOT_RUN
+    if not is_repeatable or not context.budget_left or context.failures >= MAX_FAILURES:
         return RetryDecision.FINISH
-    return _choose_target(attempt, context.other_target_exists)
+    return _decide_retry_target(attempt, context.other_target_exists)
 
 
-def _choose_target(attempt: Attempt, other_target_exists: bool) -> RetryDecision:
+def _decide_retry_target(attempt: Attempt, other_target_exists: bool) -> RetryDecision:
     if other_target_exists:
         return RetryDecision.RETRY_OTHER_TARGET
     if attempt.end is AttemptEnd.BROKEN and attempt.reused and not attempt.byte_received:
-        # The target may only have closed an idle connection at that moment.
+        # The target may have closed the idle connection just as the request was sent.
         return RetryDecision.RETRY_SAME_TARGET
     return RetryDecision.FINISH
--- a/comfreywind/decisions/room_rule.py
+++ b/comfreywind/decisions/room_rule.py
@@ -1,14 +1,15 @@
-"""Decides which targets a waiting request may be sent to."""
+"""Decides which targets a waiting request may be sent to, by their free capacity."""
 
 import enum
 from dataclasses import dataclass
 
 
 class RoomRule(enum.Enum):
-    """Targets that a request may go to.
+    """Targets that a request may be sent to.
 
-    `ANY` includes targets that peers have reported as full: the target states truthfully whether it
-    has a slot, and a refusal costs one round trip.
+    `KNOWN_ROOM` are the targets that have a free slot as far as this entry knows. `ANY` includes
+    targets that peers have reported as full: such a report may be out of date, the target itself
+    refuses a request for which it has no slot, and a refusal costs one round trip.
     """
 
     NONE = 'none'
@@ -18,9 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolRoom:
-    """Figures of one pool: requests running from here, this entry's part, slots known as free.
+    """Capacity of one pool as this entry sees it.
 
-    `reserved_slots` are kept free for urgent work.
+    `running` is the number of requests that this entry runs there and `quota_slots` its share of
+    the slots. `free_slots` are those known to be free; `reserved_slots` of them are kept for urgent
+    work. `urgent_ready_at_peers` is the number of urgent requests that wait for a slot at other
+    entries. `peers_below_quota` tells whether another entry uses less than its share and has work
+    that waits for a slot.
     """
 
     running: int
@@ -32,10 +37,11 @@
 
 
 def decide_room(room: PoolRoom, urgent: bool) -> RoomRule:
-    """Return where the next request may go.
+    """Return which targets the next request may be sent to.
 
-    A slot freed here is first known here, so this entry would win it every time; above its quota it
-    leaves the slot to a peer that is below its own and has work waiting.
+    An entry is the first to know that a slot is free when its own request has ended, so it would
+    get that slot every time. Above its quota it therefore leaves the slot to a peer that is below
+    its own quota and has work waiting.
     """
     if urgent:
         return RoomRule.ANY
--- a/comfreywind/decisions/set_digest.py
+++ b/comfreywind/decisions/set_digest.py
@@ -1,4 +1,4 @@
-"""Digest of a set of rows, updated row by row."""
+"""Digest of a set of rows that is updated incrementally as rows change."""
 
 import hashlib
 
@@ -6,10 +6,10 @@
 
 
 def exchange_row(digest: int, key: str, old_version: int, new_version: int) -> int:
-    """Return the digest after a row has changed its version; version 0 stands for no row.
+    """Return the digest after the version of a row has changed; version 0 means that it is missing.
 
-    The digest is the exclusive or of a 64-bit hash of each row's key and version, so it does not
-    depend on the order in which the rows arrived.
+    The digest is the exclusive or of the 64-bit hashes of all rows (key and version), so it does
+    not depend on the order in which the rows arrived.
     """
     return digest ^ _hash_row(key, old_version) ^ _hash_row(key, new_version)
 
--- a/comfreywind/decisions/settle_write.py
+++ b/comfreywind/decisions/settle_write.py
@@ -1,10 +1,10 @@
-"""What became of a conditional write whose reply was lost."""
+"""Finds out whether a conditional write whose reply was lost took effect."""
 
 import enum
 
 
 class WriteOutcome(enum.Enum):
-    """What the row tells about the write."""
+    """What the row, read after the write, shows about the write."""
 
     APPLIED = enum.auto()
     NOT_APPLIED = enum.auto()
@@ -15,12 +15,12 @@
 def settle_write(
     expected_version: int, write_id: str, row_version: int, row_write_id: str
 ) -> WriteOutcome:
-    """Return the outcome, given the row as read after the write; version 0 is a missing row.
+    """Return the outcome, given the row as read after the write; version 0 means a missing row.
 
-    A row with its expected version may still be changed by the write if that is delayed on its way,
-    so the same write is sent again: both have the same condition, and only one can take effect. A
-    row that has moved on by one version was changed by someone else. When it has moved further, the
-    write may have been one of the changes.
+    If the row still has the expected version, the write may be delayed and take effect later. The
+    caller sends the same write again: both are conditional on the same version, so only one can
+    take effect. If the version is one higher, another writer made that change, so the write was
+    refused. If it is higher still, the write may have been one of the changes.
     """
     if row_write_id == write_id:
         return WriteOutcome.APPLIED
--- a/comfreywind/decisions/slot_rounding.py
+++ b/comfreywind/decisions/slot_rounding.py
@@ -1,18 +1,20 @@
-"""Rounds the entries' parts of a pool to whole slots."""
+"""Rounds the entries' shares of a pool to whole slots."""
 
 import math
 from collections.abc import Mapping
 
-# Multiples of the golden ratio cover the unit interval evenly, whatever the number of steps.
+# The fractional parts of its multiples cover the interval from 0 to 1 evenly, for any number of
+# steps.
 GOLDEN_RATIO = 0.618033988749895
-STEP_S = 1.0
+ROTATION_STEP_S = 1.0
 TOLERANCE = 1e-6
 
 
 def round_to_slots(quotas: Mapping[str, float], offset: float) -> dict[str, int]:
-    """Return whole numbers that sum up like the quotas; `offset` in [0, 1) decides who gains.
+    """Round the quotas to whole slots, keeping their sum.
 
-    Over all offsets the mean of each number is its quota.
+    `offset`, from 0 up to but not including 1, decides which entries are rounded up. Over all
+    offsets, the mean of an entry's slots is its quota.
     """
     slots: dict[str, int] = {}
     sum_so_far = offset
@@ -24,8 +26,9 @@
 
 
 def make_offset(utc_s: float) -> float:
-    """Return the offset of this second, the same at every entry, so that the gain goes round.
+    """Return the rounding offset of this second, which is the same at every entry.
 
-    Clocks that differ only make some targets refuse a request near the change.
+    It changes every ROTATION_STEP_S, so that the entries take turns to be rounded up. If the clocks
+    of entries differ, their slots may for a moment exceed the pool, and targets refuse the surplus.
     """
-    return math.fmod(math.floor(utc_s / STEP_S) * GOLDEN_RATIO, 1)
+    return math.fmod(math.floor(utc_s / ROTATION_STEP_S) * GOLDEN_RATIO, 1)
--- a/comfreywind/decisions/team_load.py
+++ b/comfreywind/decisions/team_load.py
@@ -1,14 +1,14 @@
-"""Load of one team in one pool at one entry."""
+"""Load that one team causes in one pool at one entry."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class TeamLoad:
-    """Numbers of requests; the urgent ones are counted in `running` and `waiting` too.
+    """Numbers of requests; `running` and `waiting` include the urgent ones.
 
-    `ready` counts the waiting requests that lack nothing but a slot, `urgent_ready` the urgent ones
-    among them that are within the team's entitlement.
+    `ready` counts the waiting requests that need only a slot to start, `urgent_ready` the urgent
+    ones among them that are within the team's entitlement.
     """
 
     running: int = 0
@@ -19,12 +19,13 @@
 
     @property
     def demand(self) -> int:
-        """Return what the team could use now."""
+        """Return the number of slots that the team could use now."""
         return self.running + self.waiting
 
     def to_counts(self) -> tuple[int, ...]:
         """Return the numbers in the order of the fields.
 
-        `dataclasses.astuple` copies each number, which took a fifth of the time of a plan.
+        `dataclasses.astuple` deep-copies each number, which took a fifth of the time that dividing
+        the slots of a pool takes.
         """
         return self.running, self.waiting, self.ready, self.urgent_running, self.urgent_ready
--- a/comfreywind/decisions/urgent_reserve.py
+++ b/comfreywind/decisions/urgent_reserve.py
@@ -3,21 +3,23 @@
 import math
 
 URGENT_START_S = 1.3
-# Part of the limit that a slot may take to become free; the rest is for reports and refusals.
+# Fraction of URGENT_START_S in which a slot must become free; the rest is for reports and refusals.
 TURNOVER_PART = 0.5
-# With this many slots expected to become free in time, none does in 0.03% of cases (Poisson).
+# If this many slots are expected to become free in that time, the probability that none does is
+# 0.03% (Poisson).
 SAFE_RELEASES = 8
 HIGHEST_RESERVE_RATIO = 0.125
-# A burst starts many runs at once, which then end at once, so that turnover alone is not enough.
-LOWEST_RESERVE = 2
+# A burst starts many runs at the same time, which then also end at the same time. In between, no
+# slot becomes free, whatever the mean run time.
+MIN_RESERVED_SLOTS = 2
 
 
 def count_reserved_slots(slots: int, mean_run_s: float) -> int:
-    """Return the slots to keep free so that urgent work starts within `URGENT_START_S`.
+    """Return how many slots to keep free so that urgent work starts within URGENT_START_S.
 
-    None are kept while runs are short against that time. A mean of 0 stands for unknown run times,
-    which are taken to be long. The reserve stays the same while urgent work runs, so that slots
-    that become free fill it up for the next urgent request.
+    No slots are kept if runs are so short that slots become free in time anyway. A mean of 0 means
+    that run times are unknown; they are then assumed to be long. Running urgent work does not lower
+    the result, so that slots that become free are kept for the next urgent request.
     """
     if slots <= 0:
         return 0
@@ -25,5 +27,5 @@
     if 0 < mean_run_s <= turnover_s:
         return 0
     releases = slots * turnover_s / mean_run_s if mean_run_s > 0 else 0
-    wanted = max(LOWEST_RESERVE, math.ceil(SAFE_RELEASES - releases))
+    wanted = max(MIN_RESERVED_SLOTS, math.ceil(SAFE_RELEASES - releases))
     return min(wanted, max(1, int(slots * HIGHEST_RESERVE_RATIO)))
