--- a/tests/decisions/test_drain.py
+++ b/tests/decisions/test_drain.py
@@ -1,4 +1,4 @@
-"""When a draining VM may be stopped, and who holds the control work of a pool."""
+"""Tests of when a draining VM may be stopped, and of the control lease of a pool."""
 
 from collections import Counter
 
@@ -7,9 +7,10 @@
 from comfreywind.decisions.pools.drain import Drain, MemberReport, is_drained
 from comfreywind.decisions.pools.holder import LeaseStep, LeaseView, choose_holder, decide_lease
 
-KNOWS = MemberReport('a', 7, 0)
+DONE_REPORT = MemberReport('a', 7, 0)
 DRAIN_CASES = (
-    # members besides one that is done, confirmed_s, unreported_until_s, drained at 100 s
+    # Reports of other members than the one that is done, confirmed_s, unreported_until_s, whether
+    # the VM is drained at 100 s.
     ((), 90.0, 0, True),
     ((), None, 0, False),
     ((MemberReport('b', 6, 0),), 90.0, 0, False),
@@ -21,7 +22,7 @@
     ((), 10.0, 101.0, False),
 )
 LEASE_CASES = (
-    # held by other, held here, unchanged_s, preferred here, other preferred for, step
+    # held_by_other, held_here, unchanged_s, preferred_here, other_preferred_s, step
     (False, False, 0, True, 0, LeaseStep.TAKE),
     (False, False, 7, False, 9, LeaseStep.NOTHING),
     (False, False, 8, False, 9, LeaseStep.TAKE),
@@ -42,9 +43,9 @@
     unreported_until_s: float,
     expected: bool,
 ) -> None:
-    """Guards against a stop while a member may still send work or has work running."""
+    """A VM is stopped too early if a member may still send work there or still runs some."""
     drain = Drain(7, confirmed_s, unreported_until_s, graceful_s=30)
-    assert is_drained(drain, (KNOWS, *others), 100) == expected
+    assert is_drained(drain, (DONE_REPORT, *others), 100) == expected
 
 
 @pytest.mark.parametrize(
@@ -53,13 +54,13 @@
 def test_lease(
     by_other: bool, here: bool, unchanged_s: float, preferred: bool, other_s: float, step: LeaseStep
 ) -> None:
-    """Guards against a pool without a holder and against a lease that goes to and fro."""
+    """Wrong lease steps leave a pool without a holder, or move its lease back and forth."""
     view = LeaseView(by_other, here, unchanged_s, preferred, other_s)
     assert decide_lease(view, ttl_s=8, handover_s=5) == step
 
 
 def test_holders_are_spread() -> None:
-    """Guards against pools that pile up on one entry or move when an unrelated entry leaves."""
+    """Pools must not pile up on one entry, nor move when an unrelated entry leaves."""
     pools = [f'pool-{number}' for number in range(56)]
     members = [f'entry-{number}' for number in range(8)]
     holders = {pool: choose_holder(pool, members) for pool in pools}
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -1,4 +1,4 @@
-"""Which view may be served from, and what became of a write whose reply was lost."""
+"""Tests of the confirmation of a view, of its digest and of writes whose reply was lost."""
 
 import pytest
 
@@ -49,32 +49,32 @@
 
 @pytest.mark.parametrize(('members_count', 'cold', 'needed_count'), NEEDED_CASES)
 def test_needed_reports(members_count: int, cold: bool, needed_count: int) -> None:
-    """Guards against an entry that serves on the word of a minority, or on its own alone."""
+    """With too few reports, an entry would serve by the word of a minority or only its own."""
     assert count_needed_reports(members_count, cold) == needed_count
 
 
 @pytest.mark.parametrize(('case', 'reports', 'confirmed_s'), CONFIRMED_CASES)
 def test_confirmed(case: str, reports: list[tuple[float, ViewMark]], confirmed_s: float) -> None:
-    """Guards against a view confirmed by too few, too old or newer views."""
+    """A view must not be confirmed by too few or too old reports, or while a newer one exists."""
     peer_reports = [PeerReport('peer', as_of_s, mark) for as_of_s, mark in reports]
     assert find_confirmed_s(OWN, peer_reports, 2, oldest_s=5) == confirmed_s, case
 
 
 def test_content_of_accepted_version_missing() -> None:
-    """Guards against serving the old version while the accepted one is known but not readable."""
+    """The old version must not be served while a newer one is accepted but could not be read."""
     own = OwnView(SAME, 3, frozenset(), frozenset())
     assert find_confirmed_s(own, [PeerReport('a', 9, SAME)] * 3, 2, oldest_s=5) is None
 
 
 def test_sources() -> None:
-    """Guards against asking a peer that has nothing new, or none of the newest."""
+    """Only peers with something new are asked, and the one with the newest bundle first."""
     marks = {'a': SAME, 'b': ViewMark(2, 12, 20), 'c': ViewMark(3, 10, 20), 'd': ViewMark(0, 0, 0)}
     reports = [PeerReport(name, 9, mark) for name, mark in marks.items()]
     assert list_view_sources(OWN, reports) == ['c', 'b']
 
 
 def test_digest_ignores_order() -> None:
-    """Guards against digests that differ for equal rows, or agree for different ones."""
+    """Digests must be equal for equal rows in any order, and differ for different rows."""
     first = exchange_row(exchange_row(0, 'a', 0, 1), 'b', 0, 7)
     second = exchange_row(exchange_row(exchange_row(0, 'b', 0, 6), 'a', 0, 1), 'b', 6, 7)
     assert first == second
@@ -83,5 +83,5 @@
 
 @pytest.mark.parametrize(('expected', 'found', 'write_id', 'outcome'), WRITE_CASES)
 def test_settle_write(expected: int, found: int, write_id: str, outcome: WriteOutcome) -> None:
-    """Guards against a write reported as done or refused when the row does not tell so."""
+    """A write must not be reported as applied or refused unless the row proves it."""
     assert settle_write(expected, 'own', found, write_id) is outcome
--- a/tests/decisions/test_pool_plan.py
+++ b/tests/decisions/test_pool_plan.py
@@ -1,4 +1,4 @@
-"""Decisions about a pool: budget, wave, failures and spare VMs."""
+"""Tests of the decisions about a pool: budget, wave, failures and spare VMs."""
 
 from dataclasses import replace
 
@@ -15,7 +15,7 @@
 RACK = replace(POLICY, tolerate='rack')
 GONE = VmHealth(works=False, for_s=20, listed=False, incarnation=0)
 BUDGET_CASES = (
-    # policy, VMs, VMs per rack, failing, required, margin
+    # Policy, VMs, VMs per rack, failing VMs, required VMs, margin.
     (POLICY, 8, 4, 0, 4, 4),
     (POLICY, 7, 4, 0, 4, 3),
     (POLICY, 8, 4, 5, 4, -1),
@@ -26,11 +26,12 @@
     (replace(SPARE_POLICY, minimum_available_ratio=1), 1, 1, 0, 0, 1),
 )
 WAVE_CASES = (
-    # policy, VMs, VMs per rack, stops that a wave begins with
+    # Policy, VMs, VMs per rack, number of VMs that a wave stops first.
     (POLICY, 8, 4, 4),
     (POLICY, 8, 2, 2),
     (replace(POLICY, minimum_available_ratio=0.75), 8, 4, 2),
-    # The rack that is stopped need not be tolerated as lost, so a whole rack goes at once.
+    # The loss of the rack being stopped need not be tolerated in addition, so a whole rack is
+    # stopped at once.
     (RACK, 12, 4, 2),
     (RACK, 16, 4, 4),
     (replace(RACK, minimum_available_ratio=0.9), 12, 4, 0),
@@ -40,7 +41,7 @@
 
 
 def list_changed(plan: PoolPlan, state: VmState) -> list[str]:
-    """Return the VMs that the plan puts into the state."""
+    """Return the names of the VMs that the plan changes to the state."""
     return [
         change.before.name
         for change in plan.changes
@@ -54,7 +55,7 @@
 def test_budget(
     policy: PoolPolicy, count: int, per_rack: int, failing: int, required: int, margin: int
 ) -> None:
-    """Guards against a budget that overlooks failures, racks or a rounding error."""
+    """The budget must count failures and failure domains, and not be off by a rounding error."""
     vms = make_vms('crossings', count, per_rack)
     budget = compute_budget(vms, {vm.name for vm in vms[:failing]}, policy)
     assert (budget.required, budget.margin) == (required, margin)
@@ -62,7 +63,7 @@
 
 @pytest.mark.parametrize(('policy', 'count', 'per_rack', 'stops'), WAVE_CASES)
 def test_wave_fills_budget(policy: PoolPolicy, count: int, per_rack: int, stops: int) -> None:
-    """Guards against stops beyond the budget, across failure domains, or fewer than possible."""
+    """A wave must stop as many VMs as the budget allows, and only in one failure domain."""
     vms = make_vms('crossings', count, per_rack)
     plan = plan_pool(make_snapshot(vms, policy=policy), {})
     draining = list_changed(plan, VmState.DRAINING)
@@ -71,7 +72,7 @@
 
 
 def test_wave_waits_for_domain() -> None:
-    """Guards against stops in a second rack while the first one is not back."""
+    """A wave must not stop VMs of a second rack while one of the first has not returned."""
     vms = make_vms('crossings', 8, 2)
     stopped = replace(vms[0], state=VmState.REBOOTING, since_s=NOW_S)
     maintained = replace(vms[1], last_maintained_s=NOW_S)
@@ -80,7 +81,7 @@
 
 
 def test_wave_ends() -> None:
-    """Guards against a VM that a wave leaves out or stops twice, and a budget broken on the way."""
+    """A wave must stop each VM exactly once and never break the budget."""
     vms = make_vms('crossings', 10, 3)
     stopped: list[str] = []
     for _ in range(60):
@@ -94,7 +95,7 @@
 
 
 def test_failure_pauses_wave() -> None:
-    """Guards against a wave that goes on, or reboots a drained VM, while VMs are lacking."""
+    """While the budget is broken, a wave must not go on, nor reboot a VM that has drained."""
     vms = make_vms('crossings', 4)
     draining = replace(vms[0], state=VmState.DRAINING, since_s=NOW_S)
     failed = {name: make_health(works=False) for name in ('crossings-2', 'crossings-3')}
@@ -108,7 +109,7 @@
 
 
 HEALTH_CASES = (
-    # state, health, state afterwards
+    # State, health, state afterwards (None: the row is deleted).
     (VmState.ACTIVE, make_health(works=False, for_s=0.5), VmState.ACTIVE),
     (VmState.ACTIVE, make_health(works=False, for_s=2), VmState.SUSPECT),
     (VmState.DRAINING, GONE, VmState.SUSPECT),
@@ -123,7 +124,7 @@
 
 @pytest.mark.parametrize(('state', 'health', 'expected'), HEALTH_CASES)
 def test_observations(state: VmState, health: VmHealth, expected: VmState | None) -> None:
-    """Guards against flapping, and against work for a VM that a late reboot call can still stop."""
+    """Neither a flapping VM nor one that a late reboot call may still stop must get work."""
     policy = replace(POLICY, maintenance_enabled=False)
     vm = make_vms('crossings', 1, state=state, since_s=NOW_S)[0]
     others = make_vms('others', 3, pool='crossings', home_pool='crossings')
@@ -133,7 +134,7 @@
 
 
 def make_lacking_pool(failed_for_s: float, borrowed: int = 0) -> PoolSnapshot:
-    """Return a pool of 4 that has lost 3 VMs for the time and has borrowed some."""
+    """Return a pool of 4 VMs, 3 of which have failed for `failed_for_s`, with borrowed ones."""
     vms = make_vms('crossings', 4)
     suspects = tuple(replace(vm, state=VmState.SUSPECT) for vm in vms[1:])
     spares = make_vms('reserve', borrowed, pool='crossings', pool_since_s=NOW_S)
@@ -144,7 +145,7 @@
 
 
 SPARE_CASES: tuple[tuple[float, int, dict[str, int]], ...] = (
-    # seconds since the failure, VMs borrowed, VMs wanted of the spare pool
+    # Seconds since the failure, borrowed VMs, VMs wanted from each spare pool.
     (9.0, 0, {}),
     (11.0, 0, {'reserve': 1}),
     (11.0, 1, {'reserve': 1}),
@@ -153,12 +154,12 @@
 
 @pytest.mark.parametrize(('failed_for_s', 'borrowed', 'wanted'), SPARE_CASES)
 def test_wanted_spares(failed_for_s: float, borrowed: int, wanted: dict[str, int]) -> None:
-    """Guards against moves for a blink, more moves than VMs lacking, and a lacking VM not moved."""
+    """A short failure requests no spare VM; a longer one requests as many as the budget lacks."""
     assert plan_pool(make_lacking_pool(failed_for_s, borrowed), {}).wanted == wanted
 
 
 RETURN_CASES = (
-    # seconds since the move, VMs that fail, whether the VM returns
+    # Seconds since the move, failing VMs, whether the spare VM returns.
     (59.0, 0, False),
     (61.0, 0, True),
     (61.0, 3, False),
@@ -167,7 +168,7 @@
 
 @pytest.mark.parametrize(('held_s', 'failing', 'returns'), RETURN_CASES)
 def test_spare_returns(held_s: float, failing: int, returns: bool) -> None:
-    """Guards against a spare VM that goes back too early, while needed, or never."""
+    """A spare VM must return once the hold time is over, but not while it is needed."""
     vms = make_vms('crossings', 4, last_maintained_s=NOW_S)
     spare = make_vms('reserve', 1, pool='crossings', pool_since_s=NOW_S - held_s)
     health = {vm.name: make_health(works=False, for_s=0) for vm in vms[:failing]}
@@ -186,7 +187,7 @@
 
 @pytest.mark.parametrize(('requests', 'expected'), REQUEST_CASES)
 def test_given_spares(requests: tuple[SpareRequest, ...], expected: list[str]) -> None:
-    """Guards against a spare VM given to two pools or given twice for one request."""
+    """A spare VM must go to one pool only, and no request must get more VMs than it wants."""
     vms = make_vms('reserve', 3, last_maintained_s=NOW_S)
     snapshot = make_snapshot(vms, name='reserve', policy=SPARE_POLICY, requests=requests)
     moves = [change.after for change in plan_pool(snapshot, {}).changes]
@@ -194,7 +195,7 @@
 
 
 def test_overdue_vm_borrows_spare() -> None:
-    """Guards against a VM that is never maintained because the budget allows no stop."""
+    """Without a borrowed VM, a pool whose budget allows no stop would never be maintained."""
     policy = replace(POLICY, minimum_available_ratio=1)
     vms = make_vms('crossings', 2)
     blocked = make_snapshot(vms, policy=policy, free_spares={'reserve': 2})
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -1,4 +1,4 @@
-"""Single decisions of the portion protocol; `tests/model` covers their interplay."""
+"""Tests of single decisions of the portion protocol; `tests/model` checks them in combination."""
 
 import pytest
 
@@ -39,27 +39,27 @@
 def test_transfer_decisions(
     case: str, own: UnitDemand, asking: UnitDemand, wanted: int, turn_over: bool, transfer: int
 ) -> None:
-    """Guards against units that move to and fro, and against an entry left without any."""
+    """Units must not move back and forth, and no entry must be left without any for good."""
     assert decide_transfer(own, asking, wanted, turn_over) == transfer, case
 
 
 @pytest.mark.parametrize(('wanted', 'taken'), TAKE_CASES)
 def test_takes_half_of_the_free_units(wanted: int, taken: int) -> None:
-    """Guards against the first entry taking all units, and against taking more than wanted."""
+    """The first entry must not get all free units, and none must get more than it wants."""
     row = take_free_units(ROW, 'c@1', wanted)
     assert dict(row.recorded)['c@1'] == taken
     assert take_free_units(row, 'c@1', 0) == row
 
 
 def test_recorded_twice() -> None:
-    """Guards against a flow that giver and receiver both record counting twice."""
+    """A flow must count once, although the giver and the receiver both record it."""
     row = record_flow(ROW, 'a@1>b@1', 3)
     assert record_flow(row, 'a@1>b@1', 3) == row
     assert row.recorded == (('a@1', 1), ('b@1', 5))
 
 
 def test_settled_party() -> None:
-    """Guards against units counted with a settled giver and again with the receiver."""
+    """Units of a settled giver are being reclaimed, so they must not count for the receiver too."""
     row = settle_holder(ROW, 'a@1', (('a@1>b@1', 1),), wait_s=12)
     assert row.reclaiming == (Reclaim('a@1', 3, 12),)
     assert row.recorded == (('b@1', 3),)
@@ -68,7 +68,7 @@
 
 
 def test_ceiling_of_an_older_bundle() -> None:
-    """Guards against an entry with old rules that raises a lowered ceiling again."""
+    """An entry that still has an older bundle must not raise a lowered ceiling again."""
     lowered = set_ceiling(ROW, 5, 3)
     assert set_ceiling(lowered, 10, 2) == lowered
     assert lowered.free_units == -1
@@ -85,12 +85,12 @@
     ],
 )
 def test_blocked_after_lowering(row: PortionRow, ceiling: int, version: int, blocked: bool) -> None:
-    """Guards against starts while the sum in an out-of-date row hides that too much runs."""
+    """No work must start while an out-of-date row may hide that the lowered ceiling is exceeded."""
     assert is_blocked(Ledger('a@1', row, 1), ceiling, version) is blocked
 
 
 def test_agreement_and_promise_exclude_each_other() -> None:
-    """Guards against one member that lets a holder work and agrees to its fence."""
+    """A member must not agree to fence a holder while its promise lets the holder work."""
     asked = PromiseAsked('h@1', renewal_number=7, now_s=10, is_member=True)
     promised, effects = apply_guard_event(asked, GUARD)
     assert effects == (GrantPromise('h@1'),)
@@ -105,6 +105,6 @@
 
 @pytest.mark.parametrize(('now_s', 'is_member'), [(100, True), (50, False)])
 def test_promises_refused(now_s: float, is_member: bool) -> None:
-    """Guards against promises without a session, or to a holder that may be fenced."""
+    """No promise must be given without a valid session, or to a holder that may be fenced."""
     asked = PromiseAsked('h@1', 7, now_s, is_member)
     assert apply_guard_event(asked, GUARD)[1] == (RefusePromise('h@1'),)
--- a/tests/model/__init__.py
+++ b/tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""Model checks of the core protocol."""
+"""Model checks: exhaustive searches and random walks over the states of the core protocols."""
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -1,9 +1,10 @@
-"""Specification of sessions, promises and fences for the model checker.
+"""Model of sessions, promises and fences for the model checker.
 
-A holder H has the only unit of a ceiling. P can grant it promises. R fences it, reclaims the unit and
-uses it. After P was killed, Q may take its place at any time and can grant promises as well. A store outage and
-a late or lost message need no steps of their own: no step is ever forced. Every decision is taken by the functions that run in production. The time is always `NOW`;
-a tick moves all deadlines back, so that the number of states is finite.
+A holder H has the only unit of a ceiling. A peer P can grant it promises. The fencer R fences it,
+reclaims the unit and uses it. After P was killed, a joiner Q may take its place at any time and
+grant promises as well. A store outage and a late or lost message need no steps of their own, since
+no step is ever forced. Every decision is taken by the functions that run in production. The time is
+always `NOW`; a tick moves all deadlines back instead, so that the number of states is finite.
 """
 
 import enum
@@ -46,7 +47,7 @@
 
 
 class Removed(enum.Enum):
-    """A protection that the model leaves out, to show that the checker notices."""
+    """A protection that the model leaves out, to show that the checker finds the fault."""
 
     NOTHING = 'nothing'
     FENCE = 'the fence against a frozen holder'
@@ -62,9 +63,10 @@
 
 
 class Setup(NamedTuple):
-    """What is left out, whether Q takes P's place, and how often the holder renews at most.
+    """The protection that is left out, whether Q joins, and the maximum number of renewals.
 
-    Q replaces the row of P, as a new process of that name does, so P's agreement isn't asked for then.
+    Q replaces the row of P, as a new process of the same name does. P's agreement is then not
+    needed any more.
     """
 
     removed: Removed = Removed.NOTHING
@@ -73,9 +75,11 @@
 
 
 class FenceState(NamedTuple):
-    """All processes, messages on the way and the store; `None` stands for nothing there.
+    """State of all processes, of the messages on their way and of the store.
 
-    `peer` is the guard of P, and of Q after that has joined.
+    None means that there is no such message or event. `peer` is the session state of P, and that of
+    Q after Q has joined. `renewal_sent` and `fence_sent` are writes on their way to the store.
+    `send_before_s` is the start limit of work on its way to the target.
     """
 
     holder: Guard
@@ -84,18 +88,18 @@
     holder_awake: bool = True
     holder_alive: bool = True
     peer_alive: bool = True
-    attempt: tuple[int, int] | None = None
-    grant_asked_s: int | None = None
+    renewal_sent: tuple[int, int] | None = None
+    grant_requested_s: int | None = None
     send_before_s: int | None = None
     holder_runs: int = 0
     fencer_runs: int = 0
     member_renewal: int = 1
     member_fenced: bool = False
     row: PortionRow = PortionRow(1, 1, recorded=((HOLDER, 1),))
-    case: FenceCase = FenceCase(HOLDER, 1, NOW)
+    fence_attempt: FenceCase = FenceCase(HOLDER, 1, NOW)
     dead_seen_s: int | None = None
     joined: bool = False
-    joiner_sees: str = ''
+    joiner_view: str = ''
     fencer_sees_joiner: bool = False
     fence_sent: tuple[int, bool] | None = None
     reclaim_seen_s: int | None = None
@@ -105,7 +109,7 @@
 
 
 def make_fence_protocol(ttl: int, setup: Setup = Setup()) -> Protocol:
-    """Return the specification with a time to live in ticks."""
+    """Return the model with a time to live of `ttl` ticks."""
     return Protocol(
         name=f'fence without {setup.removed.value}',
         candidate=False,
@@ -123,7 +127,7 @@
 
 
 def make_initial_state(ttl: int) -> FenceState:
-    """Return the state in which all three are members and the holder has just renewed."""
+    """Return the state in which H, P and R are members and the holder has just renewed."""
     timing = SessionTiming(ttl_s=ttl, drift_ratio=0)
     holder = Guard(HOLDER, timing, silent_until_s=0, valid_until_s=NOW + ttl, renewal_number=1)
     peer = Guard(PEER, timing, silent_until_s=0, valid_until_s=ALWAYS)
@@ -131,7 +135,7 @@
 
 
 def is_unit_usable(state: dict[str, object]) -> bool:
-    """Return whether somebody who can work holds the unit and may start."""
+    """Return whether an entry that can work holds the unit and may start work on it."""
     recorded = dict(state['row'].recorded)
     if FENCER in recorded:
         return state['fencer_runs'] == 0
@@ -159,33 +163,39 @@
         yield 'kill holder', _kill_holder(state)
     if state.peer_alive:
         yield 'kill peer', state._replace(peer_alive=False, dead_seen_s=NOW)
-    if state.grant_asked_s is not None:
-        yield 'lose the promise', state._replace(grant_asked_s=None)
+    if state.grant_requested_s is not None:
+        yield 'lose the promise', state._replace(grant_requested_s=None)
 
 
 def _kill_holder(state: FenceState) -> FenceState:
     holder = replace(state.holder, valid_until_s=NOW - 1, renewal_number=0)
-    return state._replace(holder=holder, holder_alive=False, holder_awake=True, grant_asked_s=None)
+    return state._replace(
+        holder=holder, holder_alive=False, holder_awake=True, grant_requested_s=None
+    )
 
 
 def _list_holder_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
     guard = state.holder
-    if state.attempt is None and guard.renewal_number < setup.renewals_limit and not guard.fenced:
-        attempt = (guard.renewal_number + 1, NOW)
-        yield 'holder sends renewal', state._replace(attempt=attempt)
+    if (
+        state.renewal_sent is None
+        and guard.renewal_number < setup.renewals_limit
+        and not guard.fenced
+    ):
+        renewal_sent = (guard.renewal_number + 1, NOW)
+        yield 'holder sends renewal', state._replace(renewal_sent=renewal_sent)
     if state.member_fenced and not guard.fenced:
-        yield 'holder sees fence', state._replace(holder=_apply(FenceSeen(), guard))
-    if state.attempt and state.attempt[0] == state.member_renewal:
-        confirmed = RenewalConfirmed(state.attempt[1], state.attempt[0])
+        yield 'holder sees fence', state._replace(holder=_apply_event(FenceSeen(), guard))
+    if state.renewal_sent and state.renewal_sent[0] == state.member_renewal:
+        confirmed = RenewalConfirmed(state.renewal_sent[1], state.renewal_sent[0])
         yield (
             'holder gets reply or reads the row',
-            state._replace(holder=_apply(confirmed, guard), attempt=None),
+            state._replace(holder=_apply_event(confirmed, guard), renewal_sent=None),
         )
-    if state.grant_asked_s is not None:
-        received = PromiseReceived(state.grant_asked_s)
+    if state.grant_requested_s is not None:
+        received = PromiseReceived(state.grant_requested_s)
         yield (
             'holder gets promise',
-            state._replace(holder=_apply(received, guard), grant_asked_s=None),
+            state._replace(holder=_apply_event(received, guard), grant_requested_s=None),
         )
     yield from _list_work_steps(state)
 
@@ -216,37 +226,42 @@
         yield 'new member joins', state._replace(joined=True, peer=joiner)
     if not state.joined:
         return
-    sees = 'fenced' if state.member_fenced else 'live'
-    if state.joiner_sees != sees:
-        yield 'new member reads the members', state._replace(joiner_sees=sees)
+    current_view = 'fenced' if state.member_fenced else 'live'
+    if state.joiner_view != current_view:
+        yield 'new member reads the members', state._replace(joiner_view=current_view)
     if not state.fencer_sees_joiner:
         yield 'fencer sees new member', state._replace(fencer_sees_joiner=True)
 
 
 def _list_peer_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
     if state.holder_alive and state.holder_awake:
-        is_member = not state.joined or state.joiner_sees == 'live'
+        is_member = not state.joined or state.joiner_view == 'live'
         if setup.removed is Removed.JOINER_READ:
             is_member = True
         asked = PromiseAsked(HOLDER, state.holder.renewal_number, NOW, is_member)
         guard, effects = apply_guard_event(asked, state.peer)
         if effects == (GrantPromise(HOLDER),):
-            yield 'peer grants promise', state._replace(peer=guard, grant_asked_s=NOW)
+            yield 'peer grants promise', state._replace(peer=guard, grant_requested_s=NOW)
     seen = RenewalSeen(HOLDER, state.member_renewal)
-    if _apply(seen, state.peer) != state.peer:
-        yield 'peer sees renewal', state._replace(peer=_apply(seen, state.peer))
-    query = FenceAsked(HOLDER, state.case.renewal_number, NOW)
+    if _apply_event(seen, state.peer) != state.peer:
+        yield 'peer sees renewal', state._replace(peer=_apply_event(seen, state.peer))
+    query = FenceAsked(HOLDER, state.fence_attempt.renewal_number, NOW)
     guard, effects = apply_guard_event(query, state.peer)
     if not effects or state.member_fenced:
         return
     yield 'peer agrees, its reply is lost', state._replace(peer=guard)
-    yield 'peer agrees', state._replace(peer=guard, case=_add(state.case, guard.holder))
+    yield (
+        'peer agrees',
+        state._replace(
+            peer=guard, fence_attempt=_add_member_agreement(state.fence_attempt, guard.holder)
+        ),
+    )
 
 
 def _list_store_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
-    pending = state.attempt is not None and state.attempt[0] > state.member_renewal
+    pending = state.renewal_sent is not None and state.renewal_sent[0] > state.member_renewal
     if pending and not state.member_fenced:
-        yield 'store applies renewal', state._replace(member_renewal=state.attempt[0])
+        yield 'store applies renewal', state._replace(member_renewal=state.renewal_sent[0])
     if state.fence_sent is None:
         return
     renewal, saw_joiner = state.fence_sent
@@ -257,41 +272,48 @@
         return
     yield (
         'store applies fence',
-        _forget_case(state._replace(fence_sent=None, member_fenced=True)),
+        _clear_fence_attempt(state._replace(fence_sent=None, member_fenced=True)),
     )
 
 
-def _forget_case(state: FenceState) -> FenceState:
-    """Clear what can't matter after the fence, so that fewer states differ."""
+def _clear_fence_attempt(state: FenceState) -> FenceState:
+    """Clear the fields that have no effect after the fence, to reduce the number of states."""
     timing = state.fencer.timing
-    case = FenceCase(HOLDER, 0, NOW - int(timing.ttl_s))
+    fence_attempt = FenceCase(HOLDER, 0, NOW - int(timing.ttl_s))
     fencer = Guard(FENCER, timing, silent_until_s=0, valid_until_s=ALWAYS)
-    return state._replace(case=case, fencer=fencer, dead_seen_s=None)
+    return state._replace(fence_attempt=fence_attempt, fencer=fencer, dead_seen_s=None)
 
 
 def _list_fencer_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
-    query = FenceAsked(HOLDER, state.case.renewal_number, NOW)
+    query = FenceAsked(HOLDER, state.fence_attempt.renewal_number, NOW)
     guard, effects = apply_guard_event(query, state.fencer)
     if effects and not state.member_fenced:
-        yield 'fencer agrees', state._replace(fencer=guard, case=_add(state.case, FENCER))
+        yield (
+            'fencer agrees',
+            state._replace(
+                fencer=guard, fence_attempt=_add_member_agreement(state.fence_attempt, FENCER)
+            ),
+        )
     if state.holder_alive and state.holder_awake:
         asked = PromiseAsked(HOLDER, state.holder.renewal_number, NOW, not state.member_fenced)
         guard, grants = apply_guard_event(asked, state.fencer)
         if grants == (GrantPromise(HOLDER),):
-            yield 'fencer grants promise', state._replace(fencer=guard, grant_asked_s=NOW)
-    if state.member_renewal != state.case.renewal_number and not state.member_fenced:
+            yield 'fencer grants promise', state._replace(fencer=guard, grant_requested_s=NOW)
+    if state.member_renewal != state.fence_attempt.renewal_number and not state.member_fenced:
         seen = RenewalSeen(HOLDER, state.member_renewal)
         yield (
             'fencer sees renewal',
             state._replace(
-                fencer=_apply(seen, state.fencer),
-                case=FenceCase(HOLDER, state.member_renewal, NOW),
+                fencer=_apply_event(seen, state.fencer),
+                fence_attempt=FenceCase(HOLDER, state.member_renewal, NOW),
             ),
         )
     elif _may_fence(state, setup):
         yield (
             'fencer sends fence',
-            state._replace(fence_sent=(state.case.renewal_number, state.fencer_sees_joiner)),
+            state._replace(
+                fence_sent=(state.fence_attempt.renewal_number, state.fencer_sees_joiner)
+            ),
         )
     yield from _list_reclaim_steps(state, setup)
 
@@ -300,7 +322,7 @@
     if state.member_fenced or state.fence_sent is not None:
         return False
     if setup.removed is not Removed.EXPIRY_WAIT and not is_expired(
-        state.case, state.fencer.timing, NOW
+        state.fence_attempt, state.fencer.timing, NOW
     ):
         return False
     if setup.removed is Removed.AGREEMENTS:
@@ -310,15 +332,16 @@
         waited = NOW >= state.dead_seen_s + state.fencer.timing.observed_ttl_s
         if waited or setup.removed is Removed.EXCUSE_WAIT:
             members.discard(PEER)
-    return not list_missing(state.case, frozenset(members))
+    return not list_missing(state.fence_attempt, frozenset(members))
 
 
 def _list_reclaim_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
     recorded = dict(state.row.recorded)
     gone = state.member_fenced
     if setup.removed is Removed.FENCE:
-        # Without the fence, the holder's units are taken as soon as it is silent for its time to live.
-        gone = is_expired(state.case, state.fencer.timing, NOW)
+        # Without the fence, the holder's units are reclaimed as soon as its time to live has passed
+        # without a renewal.
+        gone = is_expired(state.fence_attempt, state.fencer.timing, NOW)
     if HOLDER in recorded and gone:
         wait_s = 0 if setup.removed is Removed.MAX_RUN_WAIT else MAX_RUN
         row = settle_holder(state.row, HOLDER, (), wait_s)
@@ -335,19 +358,21 @@
 
 def _tick(state: FenceState) -> FenceState:
     ttl_start_s = NOW - int(state.fencer.timing.ttl_s)
-    attempt = state.attempt
-    if attempt is not None:
-        attempt = (attempt[0], max(attempt[1] - 1, ttl_start_s))
+    renewal_sent = state.renewal_sent
+    if renewal_sent is not None:
+        renewal_sent = (renewal_sent[0], max(renewal_sent[1] - 1, ttl_start_s))
     return state._replace(
         holder=_age_guard(state.holder),
         peer=_age_guard(state.peer),
         fencer=_age_guard(state.fencer),
-        attempt=attempt,
-        grant_asked_s=_age(state.grant_asked_s, ttl_start_s),
+        renewal_sent=renewal_sent,
+        grant_requested_s=_age(state.grant_requested_s, ttl_start_s),
         send_before_s=_age(state.send_before_s, NOW - 1),
         holder_runs=max(0, state.holder_runs - 1),
         fencer_runs=max(0, state.fencer_runs - 1),
-        case=replace(state.case, first_seen_s=_age(state.case.first_seen_s, ttl_start_s)),
+        fence_attempt=replace(
+            state.fence_attempt, first_seen_s=_age(state.fence_attempt.first_seen_s, ttl_start_s)
+        ),
         dead_seen_s=_age(state.dead_seen_s, ttl_start_s),
         reclaim_seen_s=_age(state.reclaim_seen_s, NOW - MAX_RUN),
     )
@@ -366,10 +391,10 @@
     return replace(guard, valid_until_s=until_s, granted=granted, silent_until_s=silent_until_s)
 
 
-def _apply(event: GuardEvent, guard: Guard) -> Guard:
+def _apply_event(event: GuardEvent, guard: Guard) -> Guard:
     return apply_guard_event(event, guard)[0]
 
 
-def _add(case: FenceCase, member: str) -> FenceCase:
-    agreement = AgreeToFence(HOLDER, case.renewal_number)
-    return add_agreement(case, agreement.renewal_number, (member, ()))
+def _add_member_agreement(fence_attempt: FenceCase, member: str) -> FenceCase:
+    agreement = AgreeToFence(HOLDER, fence_attempt.renewal_number)
+    return add_agreement(fence_attempt, agreement.renewal_number, (member, ()))
--- a/tests/model/move_model.py
+++ b/tests/model/move_model.py
@@ -1,7 +1,7 @@
 """Model of a move: members with old views, late heartbeats, a fenced member and racing holders.
 
-One VM moves from the pool `crossings` to the pool `reserve`. Whether its drain is over is decided by
-`is_drained`, the function that runs in production; the row after it by `finish_drain`.
+One VM moves from the pool `crossings` to the pool `reserve`. The functions that run in production
+decide whether its drain is over (`is_drained`) and what its row is after that (`finish_drain`).
 """
 
 from collections.abc import Iterator
@@ -23,7 +23,7 @@
 
 
 class Member(NamedTuple):
-    """The version of the row that a member knows, and the pool whose work it runs on the VM."""
+    """The row version that a member knows, and the pool whose work it runs on the VM, if any."""
 
     version: int = 1
     running: str | None = None
@@ -32,10 +32,10 @@
 class State(NamedTuple):
     """A state of the model; row versions count from 1.
 
-    `reports` are the last heartbeats as the holder has received them. `fenced` is the member that
-    was fenced, if any; `limit_passed` is whether the run limit after that has passed. `confirmed`
-    is the version of the draining row that all members have confirmed, 0 for none. `pending` is a
-    decided row with the version that it was decided from, for each of two processes.
+    `reports` are the last heartbeats that the holder received. `fenced` is the index of the fenced
+    member, if any; `limit_passed` tells whether the run limit has passed since. `confirmed` is the
+    version of the draining row that all members have confirmed, 0 for none. `pending` is, for each
+    of two processes, a decided row with the version that it was decided from.
     """
 
     rows: tuple[PoolVm, ...] = (FIRST_ROW,)
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveSwitches:
-    """Protections that can be taken away to see that the check finds the fault."""
+    """Protections that can be switched off, to show that the check finds the fault."""
 
     confirmation: bool = True
     run_limit: bool = True
@@ -74,7 +74,7 @@
 
 
 def list_transitions(state: State, switches: MoveSwitches) -> Iterator[tuple[str, State]]:
-    """Return all steps that can come next."""
+    """Yield all possible steps."""
     for index in range(MEMBERS_COUNT):
         yield from list_member_steps(state, index)
     yield from list_fence_steps(state)
@@ -86,10 +86,10 @@
 
 
 def list_member_steps(state: State, index: int) -> Iterator[tuple[str, State]]:
-    """Return what a member can do: read the feed, start and end work, send a heartbeat."""
+    """Yield the steps of a member: read the feed, start and end work, send a heartbeat."""
     member = state.members[index]
     if index == state.fenced:
-        # A fenced member has no session, so it starts nothing; its work ends by the run limit.
+        # A fenced member has no session, so it starts no work; the run limit ends what it runs.
         return
     if member.version < len(state.rows):
         yield f'{index} reads', set_member(state, index, member._replace(version=len(state.rows)))
@@ -104,7 +104,7 @@
 
 
 def list_fence_steps(state: State) -> Iterator[tuple[str, State]]:
-    """Return the fence of a member, and the end of its work by the run limit."""
+    """Yield the fence of a member, and the end of its work when the run limit has passed."""
     if state.fenced is None:
         yield 'a member is fenced', state._replace(fenced=MEMBERS_COUNT - 1)
     elif not state.limit_passed:
@@ -115,7 +115,7 @@
 def list_decisions(
     state: State, process: int, switches: MoveSwitches
 ) -> Iterator[tuple[str, State]]:
-    """Return what a process can decide about the VM."""
+    """Yield the decisions about the VM that a process can make."""
     row = state.rows[-1]
     if len(state.rows) >= ROWS_LIMIT:
         return
@@ -126,7 +126,7 @@
         return
     after = cancel_drain(row, 0, 'model').after
     yield f'{process} cancels', set_pending(state, process, after)
-    confirmed = confirm(state, switches)
+    confirmed = record_confirmation(state, switches)
     if confirmed != state:
         yield 'all have confirmed', confirmed
     if has_drained(state, switches):
@@ -137,7 +137,10 @@
 def list_commits(
     state: State, process: int, pending: tuple[int, PoolVm]
 ) -> Iterator[tuple[str, State]]:
-    """Return the commit on condition of the version; a repeated one fails on it."""
+    """Yield the commit of a decided row, which is conditional on the version of the row.
+
+    A repeated commit needs no step of its own, because it fails on that condition.
+    """
     version, row = pending
     done = set_pending(state, process, None)
     if version != len(state.rows):
@@ -146,8 +149,8 @@
     yield f'{process} commits', done._replace(rows=(*state.rows, row), confirmed=0)
 
 
-def confirm(state: State, switches: MoveSwitches) -> State:
-    """Return the state in which the holder has noted the confirmation, if there is one."""
+def record_confirmation(state: State, switches: MoveSwitches) -> State:
+    """Return the state in which the holder has recorded the confirmation, if there is one."""
     version = len(state.rows)
     if switches.confirmation and not is_confirmed(version, list_reports(state)):
         return state
@@ -155,10 +158,10 @@
 
 
 def has_drained(state: State, switches: MoveSwitches) -> bool:
-    """Return whether the holder takes the VM for drained."""
+    """Return whether the holder decides that the VM is drained."""
     reports = list_reports(state)
     if not switches.confirmation:
-        # As if each report were as new as the draining row.
+        # Treat each report as if it were as new as the draining row.
         version = len(state.rows)
         reports = [MemberReport(report.name, version, report.running) for report in reports]
     waits = switches.run_limit and state.fenced is not None and not state.limit_passed
@@ -183,14 +186,14 @@
 
 
 def set_member(state: State, index: int, member: Member) -> State:
-    """Return the state with another member."""
+    """Return the state with the member at the index replaced."""
     members = list(state.members)
     members[index] = member
     return state._replace(members=tuple(members))
 
 
 def set_pending(state: State, process: int, row: PoolVm | None) -> State:
-    """Return the state with a row decided by a process, or none."""
+    """Return the state with the decided row of a process replaced, or removed if `row` is None."""
     pending = list(state.pending)
     pending[process] = None if row is None else (len(state.rows), row)
     return state._replace(pending=tuple(pending))
--- a/tests/model/report.py
+++ b/tests/model/report.py
@@ -1,4 +1,4 @@
-"""Runs the checker and prints what it explored."""
+"""Runs the model checker and prints the number of explored states and the results."""
 
 from functools import cache
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def check_all_states(protocol: Protocol) -> dict[str, Any]:
-    """Return the safety result by property and print it with the number of states."""
+    """Return whether each invariant holds in all states, and print it."""
     checked = check_safety(protocol)
     holding = {name: found['holds'] for name, found in checked['properties'].items()}
     print(f'{protocol.name}: {checked["reachable_states"]} states, {holding}')
@@ -15,8 +15,8 @@
 
 
 def check_goal(protocol: Protocol) -> bool | None:
-    """Return whether the goal stays reachable from every state, and print it."""
-    # The search asks for the steps of each state twice.
+    """Return whether the goal can be reached from every state, and print it."""
+    # The search computes the steps of each state twice.
     protocol.transitions = cache(protocol.transitions)
     checked = check_liveness(protocol)
     print(f'{protocol.name}: {checked.get("reachable_states")} states, goal {checked["holds"]}')
@@ -24,10 +24,13 @@
 
 
 def find_counterexample(protocol: Protocol) -> list[str]:
-    """Return the labels of the shortest violation and print them; stop the search at the first."""
+    """Return the step labels of a shortest violation and print them; empty if there is none.
+
+    The search stops at the first violation.
+    """
     violations: list[str] = []
     protocol.invariants = {
-        name: _note_violation(name, holds, violations)
+        name: _record_violation(name, holds, violations)
         for name, holds in protocol.invariants.items()
     }
     list_steps = protocol.transitions
@@ -41,7 +44,7 @@
     return []
 
 
-def _note_violation(name: str, holds: Any, violations: list[str]) -> Any:
+def _record_violation(name: str, holds: Any, violations: list[str]) -> Any:
     def check(state: dict[str, Any]) -> bool:
         if holds(state):
             return True
--- a/tests/model/test_claims_model.py
+++ b/tests/model/test_claims_model.py
@@ -1,4 +1,4 @@
-"""Model check of the claims with the decision functions that production calls."""
+"""Model check of the claims; the model calls the decision functions of production."""
 
 import pytest
 from minicheck import check_safety
@@ -10,7 +10,7 @@
 
 
 def test_runs_at_most_once() -> None:
-    """Guards against a second run under lost and late writes, replaced entries and repeats."""
+    """No request runs twice, even if writes are lost or delayed and entries are replaced."""
     result = check_safety(make_protocol(3, ClaimRules()), STATES_LIMIT)
     assert result['exhaustive'], result
     assert result['properties'][PROPERTY]['holds'] is True
@@ -19,6 +19,6 @@
 
 @pytest.mark.parametrize('broken', BROKEN_RULES)
 def test_broken_rules_are_found(broken: str) -> None:
-    """Guards against a model that can't see a double run."""
+    """The check must find the double run that a broken rule allows."""
     result = check_safety(make_protocol(2, BROKEN_RULES[broken]), STATES_LIMIT)
     assert result['properties'][PROPERTY]['holds'] is False
--- a/tests/model/test_fence_model.py
+++ b/tests/model/test_fence_model.py
@@ -15,23 +15,23 @@
 
 
 def test_safety() -> None:
-    """Guards against a fence that overlaps a valid session, under all interleavings and faults."""
+    """No fence overlaps a valid session, under all interleavings and faults."""
     holding = check_all_states(make_fence_protocol(ttl=2))
     assert set(holding.values()) == {True}
 
 
 def test_safety_with_new_member() -> None:
-    """Guards against a new member that extends the session of a holder that others have fenced."""
+    """A new member never extends the session of a holder that others have fenced."""
     holding = check_all_states(make_fence_protocol(ttl=1, setup=JOINER))
     assert set(holding.values()) == {True}
 
 
 def test_liveness() -> None:
-    """Guards against a state in which the unit of a lost holder stays unusable for ever."""
+    """From every state, the unit of a lost holder can become usable again."""
     assert check_goal(make_fence_protocol(ttl=1)) is True
 
 
 @pytest.mark.parametrize('setup', PROTECTIONS, ids=lambda setup: setup.removed.name)
 def test_each_protection_is_needed(setup: Setup) -> None:
-    """Guards against a model that can't fail: without any one protection, the ceiling is exceeded."""
+    """Without any one of the protections, the check must find that the ceiling is exceeded."""
     assert find_counterexample(make_fence_protocol(ttl=1, setup=setup))
--- a/tests/model/test_view_model.py
+++ b/tests/model/test_view_model.py
@@ -1,4 +1,4 @@
-"""The decisions on versions and freshness, checked in all orders of events."""
+"""Model check of the decisions on versions and freshness, in all orders of events."""
 
 import pytest
 from minicheck import check_safety
@@ -6,7 +6,7 @@
 from tests.model.view_model import make_model
 
 STATES_LIMIT = 400_000
-# The shortest way to each fault is within the first states of the breadth-first search.
+# The breadth-first search finds the shortest violation of each broken rule within this many states.
 FAULT_STATES_LIMIT = 60_000
 BROKEN_RULES = (
     ('arrival-time', True, 'accepted version in force'),
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize('with_roll_out', [True, False], ids=['roll-out', 'contacts'])
 def test_rules_hold(with_roll_out: bool) -> None:
-    """Guards against an order of events in which an entry serves an older or a stale view."""
+    """In no order of events does an entry serve from a reverted or a stale view."""
     result = check_safety(make_model('', with_roll_out), STATES_LIMIT)
     assert result['exhaustive'], result.get('incomplete_reason')
     assert all(found['holds'] is True for found in result['properties'].values())
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize(('broken_rule', 'with_roll_out', 'invariant'), BROKEN_RULES)
 def test_broken_rule_is_found(broken_rule: str, with_roll_out: bool, invariant: str) -> None:
-    """Guards against a model that can't find the fault which a rule prevents."""
+    """With a rule broken on purpose, the check must find the fault that the rule prevents."""
     model = make_model(broken_rule, with_roll_out)
     found = check_safety(model, FAULT_STATES_LIMIT)['properties'][invariant]
     assert found['holds'] is False
--- a/tests/model/transfer_model.py
+++ b/tests/model/transfer_model.py
@@ -1,10 +1,11 @@
-"""Specification of transfers, recording and reclaiming for the model checker.
-
-A and B trade the units of a ceiling; a third entry fences them, reclaims and takes free units and
-keeps those at work. The end of sessions is a step here; `fence_model` shows that a fence can't
-overlap a valid session. A message carries a running total, so a late, repeated or lost one is the same
-as a delivery at any later time, and no step is ever forced: an entry that is frozen or a store that is
-down takes no step for any time. Random walks at larger sizes supplement the full search.
+"""Model of transfers, recording and reclaiming for the model checker.
+
+The entries A and B trade the units of a ceiling. A third entry fences them, reclaims their units,
+takes free units and uses all that it has. The end of a session is a step here; `fence_model` shows
+that a fence can't overlap a valid session. A message carries a running total, so a late, repeated
+or lost message is the same as a delivery at any later time. No step is ever forced: an entry that
+is frozen and a store that is down simply take no step. Random walks at larger sizes supplement the
+full search.
 """
 
 import enum
@@ -40,7 +41,7 @@
 
 
 class Removed(enum.Enum):
-    """A protection that the model leaves out, to show that the checker notices."""
+    """A protection that the model leaves out, to show that the checker finds the fault."""
 
     NOTHING = 'nothing'
     COMMITMENT = 'the stop of trade with a holder whose fence was agreed to'
@@ -49,10 +50,13 @@
 
 
 class EntryState(NamedTuple):
-    """One trading entry; `sent_row` is a write on its way, on condition of the version beside it.
+    """State of one trading entry.
 
-    `covers_peer` tells that the peer was fenced before this entry's units were settled, so that the wait
-    for these units is long enough for the peer's work too.
+    `sent_row` is a write on its way to the store, conditional on `sent_version`. `committed` tells
+    that the entry agreed to the fence of its peer; `agreed_flows` are the flows that the peer
+    reported when it agreed to the fence of this entry. `covers_peer` tells that the peer was fenced
+    before this entry's units were settled, so that the wait for these units also covers the work of
+    the peer.
     """
 
     ledger: Ledger
@@ -67,7 +71,7 @@
 
 
 class TransferState(NamedTuple):
-    """Both entries and the row."""
+    """State of both entries, and the portion row with its version."""
 
     a: EntryState
     b: EntryState
@@ -81,7 +85,7 @@
 def make_transfer_protocol(
     ceiling: int, trade_limit: int, removed: Removed = Removed.NOTHING
 ) -> Protocol:
-    """Return the specification; each direction trades at most `trade_limit` units in all."""
+    """Return the model; each entry gives the other at most `trade_limit` units in all."""
     row = PortionRow(ceiling, 1, recorded=(('a@1', ceiling),))
     entries = [EntryState(Ledger(name, row, 1)) for name in NAMES]
     return Protocol(
@@ -102,12 +106,12 @@
 
 
 def count_running(state: dict[str, object]) -> int:
-    """Return the units that work runs on."""
+    """Return the number of units that running work uses."""
     return state['a'].used + state['b'].used + int(read_total(state['row'].recorded, THIRD))
 
 
 def count_units(state: dict[str, object]) -> int:
-    """Return the units that somebody may use, now or after the wait."""
+    """Return the number of units that some entry may use, now or after they were reclaimed."""
     units = int(read_total(state['row'].recorded, THIRD))
     units += sum(reclaim.units for reclaim in state['row'].reclaiming)
     entries = [entry for entry in (state['a'], state['b']) if not entry.fenced]
@@ -118,10 +122,10 @@
     """Yield all steps that are possible."""
     for index in (0, 1):
         for label, entry in _list_own_steps(state, index, trade_limit, removed):
-            yield f'{NAMES[index]} {label}', _put(state, index, entry)
+            yield f'{NAMES[index]} {label}', _replace_entry(state, index, entry)
         yield from _list_shared_steps(state, index, removed)
     if state.row.free_units > 0:
-        yield 'third takes a free unit', _write(state, take_free_units(state.row, THIRD, 1))
+        yield 'third takes a free unit', _replace_row(state, take_free_units(state.row, THIRD, 1))
 
 
 def _list_own_steps(
@@ -171,15 +175,15 @@
         return
     recorded = record_flows(ledger)
     if recorded != ledger.row:
-        yield 'records', _send(entry, recorded, 0)
+        yield 'records', _send_write(entry, recorded, 0)
     taken = take_free_units(recorded, ledger.holder, 1)
     if taken != recorded and ledger.holder == NAMES[1]:
-        yield 'takes', _send(entry, taken, 0)
+        yield 'takes', _send_write(entry, taken, 0)
     if count_held_units(ledger) > entry.used and ledger.holder == NAMES[0]:
-        yield 'returns', _send(entry, return_units(recorded, ledger.holder, 1), 1)
+        yield 'returns', _send_write(entry, return_units(recorded, ledger.holder, 1), 1)
 
 
-def _send(entry: EntryState, row: PortionRow, returning: int) -> EntryState:
+def _send_write(entry: EntryState, row: PortionRow, returning: int) -> EntryState:
     started = start_write(entry.ledger, returning)
     return entry._replace(ledger=started, sent_row=row, sent_version=entry.ledger.row_version)
 
@@ -188,9 +192,9 @@
     entry, peer = state[index], state[1 - index]
     name = NAMES[index]
     if entry.sent_row is not None:
-        after = _put(state, index, entry._replace(sent_row=None, sent_version=0))
+        after = _replace_entry(state, index, entry._replace(sent_row=None, sent_version=0))
         if entry.sent_version == state.version:
-            yield f'store applies write of {name}', _write(after, entry.sent_row)
+            yield f'store applies write of {name}', _replace_row(after, entry.sent_row)
         else:
             yield f'store refuses write of {name}', after
     if not entry.valid and not entry.fenced:
@@ -198,8 +202,8 @@
     if entry.fenced:
         yield from _list_reclaim_steps(state, index)
     if entry.agreed_flows is not None and not entry.fenced:
-        renewed = _put(state, index, entry._replace(agreed_flows=None, valid=True))
-        lifted = _put(renewed, 1 - index, peer._replace(committed=False))
+        renewed = _replace_entry(state, index, entry._replace(agreed_flows=None, valid=True))
+        lifted = _replace_entry(renewed, 1 - index, peer._replace(committed=False))
         yield f'{name} renews, the agreement ends', lifted
 
 
@@ -207,18 +211,18 @@
     entry, peer = state[index], state[1 - index]
     name = NAMES[index]
     if peer.fenced:
-        yield f'third fences {name}', _put(state, index, entry._replace(fenced=True))
+        yield f'third fences {name}', _replace_entry(state, index, entry._replace(fenced=True))
     elif not peer.committed:
         flows = list_flows_with(peer.ledger, name)
         if removed is Removed.REPORTED_FLOWS:
             flows = ()
-        agreed = _put(state, 1 - index, peer._replace(committed=True))
+        agreed = _replace_entry(state, 1 - index, peer._replace(committed=True))
         yield (
             f'peer agrees to fence {name}',
-            _put(agreed, index, entry._replace(agreed_flows=flows)),
+            _replace_entry(agreed, index, entry._replace(agreed_flows=flows)),
         )
     elif entry.agreed_flows is not None:
-        yield f'third fences {name}', _put(state, index, entry._replace(fenced=True))
+        yield f'third fences {name}', _replace_entry(state, index, entry._replace(fenced=True))
 
 
 def _list_reclaim_steps(state: TransferState, index: int) -> Iterator[Step]:
@@ -226,30 +230,30 @@
     name = NAMES[index]
     if not is_settled(state.row.settled, name) or mentions_holder(state.row, name):
         row = settle_holder(state.row, name, entry.agreed_flows or (), 1)
-        settled = _put(state, index, entry._replace(covers_peer=state[1 - index].fenced))
-        yield f'third settles {name}', _write(settled, row)
+        settled = _replace_entry(state, index, entry._replace(covers_peer=state[1 - index].fenced))
+        yield f'third settles {name}', _replace_row(settled, row)
     for reclaim in state.row.reclaiming:
         if reclaim.holder == name:
-            # After the wait, whatever the holder had started has ended.
-            ended = _put(state, index, entry._replace(used=0))
+            # After the wait, all work that the holder had started has ended.
+            ended = _replace_entry(state, index, entry._replace(used=0))
             if entry.covers_peer:
-                ended = _put(ended, 1 - index, state[1 - index]._replace(used=0))
+                ended = _replace_entry(ended, 1 - index, state[1 - index]._replace(used=0))
             row = finish_reclaim(state.row, reclaim)
-            yield f'third ends reclaim of {name}', _write(ended, row)
+            yield f'third ends reclaim of {name}', _replace_row(ended, row)
     if entry.used and is_settled(state.row.settled, name) and not state.row.reclaiming:
-        yield f'work of {name} ends', _put(state, index, entry._replace(used=0))
+        yield f'work of {name} ends', _replace_entry(state, index, entry._replace(used=0))
 
 
-def _put(state: TransferState, index: int, entry: EntryState) -> TransferState:
+def _replace_entry(state: TransferState, index: int, entry: EntryState) -> TransferState:
     return state._replace(a=entry) if index == 0 else state._replace(b=entry)
 
 
-def _write(state: TransferState, row: PortionRow) -> TransferState:
+def _replace_row(state: TransferState, row: PortionRow) -> TransferState:
     return state._replace(row=row, version=state.version + 1)
 
 
 def rank_versions(state: TransferState) -> TransferState:
-    """Replace the versions by their ranks, since only their order matters."""
+    """Replace the versions by their ranks; only their order matters, so fewer states differ."""
     versions = {state.version}
     for entry in (state.a, state.b):
         versions |= {entry.ledger.row_version, entry.ledger.pending_version, entry.sent_version}
@@ -262,7 +266,7 @@
 
 def _rank_entry(entry: EntryState, ranks: dict[int | None, int | None]) -> EntryState:
     if entry.fenced:
-        # A fenced entry decides nothing more; only its message and its write may still arrive.
+        # A fenced entry makes no more decisions; only its messages and its write may still arrive.
         ledger = Ledger(entry.ledger.holder, given=entry.ledger.given)
         return entry._replace(ledger=ledger, sent_version=ranks[entry.sent_version])
     ledger = replace(
--- a/tests/model/view_model.py
+++ b/tests/model/view_model.py
@@ -1,11 +1,11 @@
-"""Model of one entry's view: an accepted version never reverts, and a stale view is not served.
-
-Entry A is the one observed. B and C are its peers. One tick is longer than a feed period. A can lose
-its way to the store and to each peer at any time, since none of its actions ever has to happen; a
-frozen A is the case in which none happens. B can freeze and resume. C, through which versions are
-accepted, does neither. The store can be down for all. The known gap in section 5.5 of the design is
-left out: the store goes down only when a majority has the accepted version, and B, unless it is
-frozen, attempts a read in each tick.
+"""Model of one entry's view: an accepted version is never reverted, a stale view never served.
+
+Entry A is checked; B and C are its peers. One tick is longer than a feed interval. A can lose its
+connection to the store and to each peer at any time, since none of its steps is ever forced; if A
+is frozen, it takes no step. B can freeze and resume; C, through which versions are accepted, can't.
+The store can be down for all entries. The known gap in section 5.5 of the design is left out: the
+store goes down only when a majority has the accepted version, and B attempts a read in each tick
+unless it is frozen.
 """
 
 from collections.abc import Iterator
@@ -29,7 +29,11 @@
 
 
 class ViewState(NamedTuple):
-    """Ages are in ticks and end at `OLD`; `link` is (stage, age, version) of A's query to B."""
+    """State of A, of B, of the store and of the messages to A.
+
+    Ages are in ticks and are not counted beyond `OLD`; `a_age` is `COLD` after a restart of A.
+    `link` is the stage, age and version of A's query to B. A report is its age and version.
+    """
 
     accepted: int = 1
     since_accepted: int = 0
@@ -52,17 +56,18 @@
 
 
 class ViewModel:
-    """The transitions, with the name of a rule that is broken on purpose, if any.
+    """The transitions of the model; `broken_rule` names a rule to break on purpose, if any.
 
-    `arrival-time` takes a report as new when it arrives. `attempt-age` takes the report of a
-    resumed peer as new before it has tried to read the store. `any-offer` applies offers of lower
-    versions. `own-vote-enough` lets an entry confirm its own view. `always-fresh` serves any view.
+    `arrival-time` dates a report by its arrival. `attempt-age` dates the report of a resumed peer
+    as new although the peer has not tried to read the store since. `any-offer` applies offers of
+    lower versions. `own-vote-enough` lets an entry confirm its view alone. `always-fresh` serves
+    from any view.
     """
 
     def __init__(self, broken_rule: str = '', with_roll_out: bool = True) -> None:
-        """Break the named rule; accept a second version, or record A's contacts instead.
+        """Include either the roll-out of a second version or the age of A's last contact.
 
-        Both at once have three times as many states, and neither rule depends on the other.
+        With both, there would be three times as many states, and neither invariant depends on both.
         """
         self._broken_rule = broken_rule
         self._with_roll_out = with_roll_out
@@ -82,7 +87,7 @@
         if not self._with_roll_out:
             return {'cut off fails closed': self._has_contact_if_serving}
         return {
-            'accepted version in force': self._obeys,
+            'accepted version in force': self._has_accepted_version_if_serving,
             'never reverts': lambda fields: not fields['a_reverted'],
         }
 
@@ -92,7 +97,7 @@
             return bool(state['a_version'])
         return state['a_version'] > 0 and is_fresh(0, confirmed_s, FRESH_TICKS)
 
-    def _obeys(self, state: dict[str, Any]) -> bool:
+    def _has_accepted_version_if_serving(self, state: dict[str, Any]) -> bool:
         in_time = state['since_accepted'] <= FRESH_TICKS
         return in_time or state['a_version'] >= state['accepted'] or not self._serves(state)
 
@@ -104,12 +109,12 @@
         yield from _list_peer_steps(state)
         yield from self._list_own_steps(state)
         if _may_tick(state):
-            contact_age = 0 if self._with_roll_out else _grow(state.a_contact_age)
+            contact_age = 0 if self._with_roll_out else _increase_age(state.a_contact_age)
             yield 'tick', _tick(state)._replace(a_contact_age=contact_age)
 
     def _list_own_steps(self, state: ViewState) -> Steps:
         if state.store_up:
-            read = self._take_version(state, state.accepted)
+            read = self._apply_version(state, state.accepted)
             read = read._replace(a_age=0, a_attempt_age=0, a_contact_age=0)
             yield 'A reads the store', read
         if state.a_age != COLD:
@@ -117,19 +122,19 @@
         yield 'A asks B', state._replace(link=(QUERY, 0, 0))
         stage, age, version = state.link
         if stage == ANSWER:
-            heard = state._replace(
+            after_b_answer = state._replace(
                 link=NOTHING,
                 b_report=(0 if self._broken_rule == 'arrival-time' else age, version),
                 a_known=max(state.a_known, version),
                 a_contact_age=min(state.a_contact_age, age),
             )
-            yield 'A hears B', self._confirm(heard)
-        heard_c = state._replace(
+            yield 'A hears B', self._confirm(after_b_answer)
+        after_c_report = state._replace(
             c_report=(0, state.accepted), a_known=max(state.a_known, state.accepted)
         )
-        yield 'A hears C', self._confirm(heard_c._replace(a_contact_age=0))
+        yield 'A hears C', self._confirm(after_c_report._replace(a_contact_age=0))
         for version in range(1, state.accepted + 1):
-            yield f'A gets offer {version}', self._confirm(self._take_version(state, version))
+            yield f'A gets offer {version}', self._confirm(self._apply_version(state, version))
         yield (
             'A restarts',
             state._replace(
@@ -143,9 +148,9 @@
             ),
         )
 
-    def _take_version(self, state: ViewState, version: int) -> ViewState:
-        takes = is_newer_version(state.a_version, version) or self._broken_rule == 'any-offer'
-        if not takes:
+    def _apply_version(self, state: ViewState, version: int) -> ViewState:
+        is_applied = is_newer_version(state.a_version, version) or self._broken_rule == 'any-offer'
+        if not is_applied:
             return state
         return state._replace(
             a_version=version,
@@ -159,17 +164,19 @@
             needed_count = 1
         own_report = (OLD, 0) if state.a_age == COLD else (state.a_attempt_age, state.a_version)
         reports = (own_report, state.b_report, state.c_report)
-        confirmed_s = find_model_confirmed_s(state.a_version, state.a_known, reports, needed_count)
+        confirmed_s = compute_model_confirmed_s(
+            state.a_version, state.a_known, reports, needed_count
+        )
         if confirmed_s is None:
             return state
         return state._replace(a_age=min(state.a_age, int(-confirmed_s)))
 
 
 @lru_cache(maxsize=None)
-def find_model_confirmed_s(
+def compute_model_confirmed_s(
     version: int, accepted_version: int, reports: tuple[tuple[int, int], ...], needed_count: int
 ) -> float | None:
-    """Call the decision with reports as (age, version); cached, since few inputs differ."""
+    """Call the decision with reports given as (age, version); cached, since inputs recur often."""
     own = OwnView(ViewMark(version, 0, 0), accepted_version, frozenset(), frozenset())
     peer_reports = [
         PeerReport(str(index), -age, ViewMark(report_version, 0, 0))
@@ -179,14 +186,14 @@
 
 
 class AttemptBlindViewModel(ViewModel):
-    """Counts the report of a resumed peer as new, whenever the peer last tried to read the store."""
+    """View model with the rule `attempt-age` broken: B's last attempt always counts as new."""
 
     def _list_steps(self, state: ViewState) -> Steps:
         yield from super()._list_steps(state._replace(b_attempt_age=0))
 
 
 def make_model(broken_rule: str, with_roll_out: bool) -> Protocol:
-    """Return the model with the named rule broken, or with none for an empty name."""
+    """Return the model with the named rule broken; an empty name breaks none."""
     model_type = AttemptBlindViewModel if broken_rule == 'attempt-age' else ViewModel
     return model_type(broken_rule, with_roll_out).make_protocol()
 
@@ -215,7 +222,7 @@
 
 
 def _may_tick(state: ViewState) -> bool:
-    """Return whether B, unless it is frozen, has done the read of this tick."""
+    """Return whether B has attempted its read of this tick, or is frozen."""
     up_to_date = state.b_version == state.accepted or not state.store_up
     return state.b_frozen or (up_to_date and state.b_attempt_age == 0)
 
@@ -225,20 +232,20 @@
     since = min(OLD, state.since_accepted + 1) if state.accepted == 2 else 0
     return state._replace(
         since_accepted=since,
-        a_age=state.a_age if state.a_age == COLD else _grow(state.a_age),
-        a_attempt_age=OLD if state.a_age == COLD else _grow(state.a_attempt_age),
-        b_attempt_age=_grow(state.b_attempt_age),
-        # An answer that is too old to count is never heard with effect.
+        a_age=state.a_age if state.a_age == COLD else _increase_age(state.a_age),
+        a_attempt_age=OLD if state.a_age == COLD else _increase_age(state.a_attempt_age),
+        b_attempt_age=_increase_age(state.b_attempt_age),
+        # An answer older than this has no effect, so it is dropped.
         link=(stage, age + 1, version) if stage and age + 1 < OLD else NOTHING,
-        b_report=_grow_report(state.b_report),
-        c_report=_grow_report(state.c_report),
+        b_report=_age_report(state.b_report),
+        c_report=_age_report(state.c_report),
     )
 
 
-def _grow(age: int) -> int:
+def _increase_age(age: int) -> int:
     return min(OLD, age + 1)
 
 
-def _grow_report(report: tuple[int, int]) -> tuple[int, int]:
+def _age_report(report: tuple[int, int]) -> tuple[int, int]:
     age, version = report
-    return (_grow(age), version) if age + 1 < OLD else (OLD, 0)
+    return (_increase_age(age), version) if age + 1 < OLD else (OLD, 0)
--- a/tests/model/wave_model.py
+++ b/tests/model/wave_model.py
@@ -1,10 +1,10 @@
-"""Model of a wave: two racing holders, lost replies, failures and late reboot calls.
+"""Model of a maintenance wave: two racing holders, lost replies, failures and late reboot calls.
 
-The state consists of the rows and the true state of each VM, the holder in the control row, and for
-each of two processes the transaction and the reboot call that it has decided but not yet sent. The
-transactions are decided by `plan_pool`, the function that runs in production. The pool has three
-VMs of its own and a borrowed one, which it returns while no VM is due for maintenance. The VMs
-become due at any moment.
+The state consists of the row and the true state of each VM, of the holder in the control row and,
+for each of two processes, of the transaction and the reboot call that it has decided but not yet
+sent. The transactions are decided by `plan_pool`, the function that runs in production. The pool
+has three VMs of its own and a borrowed one, which it returns while no VM is due for maintenance.
+The VMs may become due at any time.
 """
 
 from collections.abc import Iterator
@@ -26,7 +26,11 @@
 
 
 class ModelVm(NamedTuple):
-    """A VM's row and its true incarnation; `returned` tells that it has left the pool."""
+    """A VM's row and its true incarnation.
+
+    `maintained` tells that it was rebooted in this wave, `moves` that it is to move to its home
+    pool and `returned` that it is there.
+    """
 
     state: VmState = VmState.ACTIVE
     row_incarnation: int = 1
@@ -37,10 +41,11 @@
 
 
 class Pending(NamedTuple):
-    """What a process has decided and not yet sent.
+    """The transaction and the reboot call that a process has decided and not yet sent.
 
-    `writes` are rows by VM index. They are dropped as soon as a condition of the transaction no
-    longer holds, since sending it later then changes nothing.
+    `writes` are rows with their VM indexes; `reboot` is a VM index and the incarnation to replace.
+    The writes are dropped as soon as a condition of the transaction no longer holds, since the
+    transaction would then fail.
     """
 
     writes: tuple[tuple[int, ModelVm], ...] = ()
@@ -48,7 +53,11 @@
 
 
 class State(NamedTuple):
-    """A state of the model."""
+    """A state of the model.
+
+    `failed` is the index of the VM that has failed, if any, `holder` that of the process in the
+    control row. `late_stop` tells that a reboot call has stopped a working VM.
+    """
 
     vms: tuple[ModelVm, ...] = (ModelVm(),) * VMS_COUNT
     due: bool = False
@@ -60,14 +69,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Switches:
-    """Protections that can be taken away to see that the check finds the fault."""
+class WaveSwitches:
+    """Protections that can be switched off, to show that the check finds the fault."""
 
     fencing: bool = True
     conditional_reboot: bool = True
 
 
-def make_wave_model(switches: Switches) -> Protocol:
+def make_wave_model(switches: WaveSwitches) -> Protocol:
     """Return the model with its invariants."""
     return Protocol(
         name='wave',
@@ -92,14 +101,14 @@
     return bool(available >= compute_budget(rows, (), MODEL_POLICY).required)
 
 
-def list_transitions(state: State, switches: Switches) -> Iterator[tuple[str, State]]:
-    """Return all steps that can come next."""
+def list_transitions(state: State, switches: WaveSwitches) -> Iterator[tuple[str, State]]:
+    """Yield all possible steps."""
     yield from list_failures(state)
     if not state.due:
         yield 'the VMs become due', state._replace(due=True)
     for process in range(len(state.processes)):
         if process != state.holder:
-            yield f'{process} takes the lapsed lease', take_lease(state, process, switches)
+            yield f'{process} takes the lapsed lease', change_holder(state, process, switches)
         else:
             yield from list_decisions(state, process)
         yield from list_commits(state, process, switches)
@@ -107,10 +116,10 @@
 
 
 def list_failures(state: State) -> Iterator[tuple[str, State]]:
-    """Return failures of one VM at a time, which is the loss that the pool tolerates.
+    """Yield failures of one VM at a time, which is the loss that the pool tolerates.
 
-    A failure lasts until the rows say that it is over: a VM that works again but is suspect is
-    still missing, so another failure at that time is a second loss.
+    A failure ends only when no row is suspect any more: a VM that works again but is suspect is
+    still unavailable, so another failure at that time would be a second loss.
     """
     if state.failed is not None:
         yield 'the VM works again', state._replace(failed=None)
@@ -121,13 +130,13 @@
 
 
 def has_suspicion(state: State) -> bool:
-    """Return whether a VM is suspect or a pending transaction would make it so."""
+    """Return whether a VM is suspect or a pending transaction would make one suspect."""
     pending = (row for process in state.processes for _, row in process.writes)
     return any(vm.state == VmState.SUSPECT for vm in (*state.vms, *pending))
 
 
-def take_lease(state: State, process: int, switches: Switches) -> State:
-    """Change the holder, which is a write to the control row."""
+def change_holder(state: State, process: int, switches: WaveSwitches) -> State:
+    """Return the state after a process became the holder, which is a write to the control row."""
     processes = state.processes
     if switches.fencing:
         processes = tuple(pending._replace(writes=()) for pending in processes)
@@ -135,7 +144,7 @@
 
 
 def list_decisions(state: State, process: int) -> Iterator[tuple[str, State]]:
-    """Return decisions from the state of the feed, with a current and a lagging observation."""
+    """Yield the decisions of a process, with the current and with an outdated health of the VMs."""
     for drained in (False, True):
         for failed in {state.failed, None}:
             writes = decide(state.vms, state.due, failed, drained)
@@ -145,11 +154,11 @@
                 yield f'{process} decides', set_pending(state, process, decided)
 
 
-def list_commits(state: State, process: int, switches: Switches) -> Iterator[tuple[str, State]]:
-    """Return the commit of a pending transaction.
+def list_commits(state: State, process: int, switches: WaveSwitches) -> Iterator[tuple[str, State]]:
+    """Yield the commit of a pending transaction.
 
-    When the reply is lost, the process sends it again or decides anew; both is covered, because
-    a repeated transaction fails on its conditions.
+    If the reply is lost, the process sends the transaction again or decides anew. Both are covered,
+    because a repeated transaction fails on its conditions.
     """
     pending = state.processes[process]
     if not pending.writes:
@@ -167,8 +176,8 @@
     yield f'{process} commits', state._replace(vms=tuple(vms), processes=processes)
 
 
-def list_reboots(state: State, process: int, switches: Switches) -> Iterator[tuple[str, State]]:
-    """Return the decision to call for a reboot and the call, which may come late."""
+def list_reboots(state: State, process: int, switches: WaveSwitches) -> Iterator[tuple[str, State]]:
+    """Yield the decision to request a reboot, and the call itself, which may come late."""
     pending = state.processes[process]
     if pending.reboot is None:
         for index, vm in enumerate(state.vms):
@@ -183,14 +192,14 @@
         yield f'{process} is refused a reboot', called
         return
     vms = list(state.vms)
-    # Without the condition, later calls leave the incarnation as it is to keep the model finite.
+    # Without the condition, further calls don't raise the incarnation, so that the model is finite.
     vms[index] = vm._replace(incarnation=min(vm.incarnation + 1, 2))
     late_stop = state.late_stop or vm.state != VmState.REBOOTING
     yield f'{process} reboots VM {index}', called._replace(vms=tuple(vms), late_stop=late_stop)
 
 
 def set_pending(state: State, process: int, pending: Pending) -> State:
-    """Return the state with another pending part of a process."""
+    """Return the state with the pending transaction and call of a process replaced."""
     processes = list(state.processes)
     processes[process] = pending
     return state._replace(processes=tuple(processes))
@@ -200,7 +209,7 @@
 def decide(
     vms: tuple[ModelVm, ...], due: bool, failed: int | None, drained: bool
 ) -> tuple[tuple[int, ModelVm], ...]:
-    """Return the row writes that `plan_pool` decides."""
+    """Return the row writes that `plan_pool` decides, with their VM indexes."""
     rows = make_rows(vms, due)
     indexes = {row.name: index for index, row in enumerate(rows)}
     own = list_own(rows)
@@ -213,7 +222,7 @@
         own, policy=MODEL_POLICY, health=health, drained=draining if drained else frozenset()
     )
     return tuple(
-        (index, read_row(change.after, vms[index]))
+        (index, apply_row(change.after, vms[index]))
         for change in plan_pool(snapshot, {}).changes
         for index in [indexes[change.before.name]]
         if change.after is not None
@@ -221,7 +230,7 @@
 
 
 def list_own(rows: tuple[PoolVm, ...]) -> tuple[PoolVm, ...]:
-    """Return the rows of the pool."""
+    """Return the rows of the VMs that are in the pool."""
     return tuple(row for row in rows if row.pool == 'crossings')
 
 
@@ -232,7 +241,7 @@
 
 
 def make_row(blank: PoolVm, vm: ModelVm, due: bool) -> PoolVm:
-    """Return the VM as a row; a VM is maintained once in a wave."""
+    """Return the VM as a row; a VM is due until it was maintained once."""
     borrowed = blank.name == f'crossings-{BORROWED_INDEX}'
     return replace(
         blank,
@@ -245,13 +254,13 @@
     )
 
 
-def read_row(row: PoolVm, vm: ModelVm) -> ModelVm:
-    """Return the VM of the model for a decided row."""
-    back = vm.state == VmState.REBOOTING and row.state == VmState.ACTIVE
+def apply_row(row: PoolVm, vm: ModelVm) -> ModelVm:
+    """Return the VM of the model with a decided row."""
+    was_rebooted = vm.state == VmState.REBOOTING and row.state == VmState.ACTIVE
     return vm._replace(
         state=row.state,
         row_incarnation=row.incarnation,
-        maintained=vm.maintained or back,
+        maintained=vm.maintained or was_rebooted,
         moves=row.move_to is not None,
         returned=row.pool == 'reserve',
     )
--- a/tests/test_retry_decisions.py
+++ b/tests/test_retry_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions on retries, their budget, and ejection."""
+"""Tests of the decisions about retries, the retry budget and ejection."""
 
 import pytest
 
@@ -45,7 +45,7 @@
     ],
 )
 def test_outcome(attempt: Attempt, outcome: Outcome) -> None:
-    """Guards against not-run after a byte may have reached the target."""
+    """Not-run must not be reported once a byte may have reached the target, unless it refused."""
     assert find_outcome(attempt) is outcome
 
 
@@ -69,7 +69,7 @@
     ],
 )
 def test_retry(attempt: Attempt, changes: dict[str, bool], expected: RetryDecision) -> None:
-    """Guards against a second run of a POST, a retry without limit, and one given up too early."""
+    """A POST must not run twice, retries must be limited, and none given up without need."""
     context = {
         'idempotent': True,
         'failures': 1,
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize(('requests', 'allowed'), [(0, 10), (100, 10), (1000, 100)])
 def test_retry_budget(requests: int, allowed: int) -> None:
-    """Guards against retries that multiply the load of a failing pool."""
+    """Without a limit, retries would multiply the load of a failing pool."""
     budget = RetryBudget()
     for index in range(requests):
         budget = record_request(budget, 100 + index * 9 / requests)
@@ -110,12 +110,12 @@
     ],
 )
 def test_what_counts_as_failure(attempt: Attempt, failure: bool) -> None:
-    """Guards against ejecting busy targets, or targets of callers with short deadlines."""
+    """A target must not be ejected because it is busy or because callers set short deadlines."""
     assert counts_as_failure(attempt) is failure
 
 
 def make_health(vm_count: int, clock: Clock) -> tuple[TargetHealth, list[VmEntry]]:
-    """Return the health of a pool with that many VMs."""
+    """Return the health of the targets of a pool with `vm_count` VMs, and the VMs."""
     address = Address('127.0.0.1', 1)
     vms = [
         VmEntry(f'vm-{index}', address, 'dc-1', 'rack', 'pool', 'live', 1)
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize(('vm_count', 'ejected'), [(1, 0), (3, 0), (4, 1), (10, 3), (20, 6)])
 def test_ejection_is_capped(vm_count: int, ejected: int) -> None:
-    """Guards against a common cause that empties the pool."""
+    """Failures that all targets share must not eject the whole pool."""
     health, vms = make_health(vm_count, ManualClock())
     for vm in vms * 6:
         health.report(vm, 'pool', failed=True)
@@ -137,7 +137,7 @@
 
 
 def test_failure_ratio() -> None:
-    """Guards against a target that fails most requests but never five in a row."""
+    """A target that fails most requests, but never five in a row, must be ejected too."""
     health, vms = make_health(4, ManualClock())
     for failed in (True, True, False) * 4:
         health.report(vms[0], 'pool', failed)
@@ -145,7 +145,10 @@
 
 
 def test_probe_and_growing_time() -> None:
-    """Guards against a flood at a target that may still fail, and one that is never tried again."""
+    """On probation a target gets one request at a time, and it is tried again after each ejection.
+
+    Each failed probe doubles the ejection time. A success ends the probation.
+    """
     clock = ManualClock()
     health, vms = make_health(4, clock)
     for _ in range(5):
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -1,4 +1,4 @@
-"""Properties of the decisions about shares, order, room, estimates and targets."""
+"""Property tests of shares, the order of starts, free capacity, estimates and target choice."""
 
 import math
 import random
@@ -62,7 +62,7 @@
 @STEADY
 @given(st.integers(0, 2000), claims)
 def test_fair_shares(capacity: int, claimed: dict[str, ShareClaim]) -> None:
-    """Guards against shares above a limit, idle capacity, and a claimant worse off than others."""
+    """No share exceeds its limit, no capacity stays idle, and no claimant is worse off."""
     shares = compute_fair_shares(capacity, claimed)
     total_limit = sum(claim.limit for claim in claimed.values())
     assert math.isclose(sum(shares.values()), min(capacity, total_limit), abs_tol=TOLERANCE)
@@ -81,7 +81,7 @@
     capacity: int,
     second: int,
 ) -> None:
-    """Guards against entries that together plan more than a pool or a ceiling, or idle slots."""
+    """The entries together must not plan more than the pool or a ceiling, nor leave slots idle."""
     offset = make_offset(second)
     plans = {
         entry: make_pool_plan(entry, all_loads, team_rules, capacity, offset) for entry in all_loads
@@ -102,7 +102,7 @@
 @STEADY
 @given(st.dictionaries(names, st.floats(0, 50), min_size=1, max_size=9))
 def test_rounding_is_fair_over_time(quotas: dict[str, float]) -> None:
-    """Guards against an entry whose fraction of a slot is always rounded down."""
+    """An entry's fraction of a slot must not always be rounded down."""
     steps = 500
     rounded = [round_to_slots(quotas, make_offset(second)) for second in range(steps)]
     for name, quota in quotas.items():
@@ -117,7 +117,7 @@
     st.integers(200, 600),
 )
 def test_service_follows_quotas(plans: dict[str, tuple[float, float]], starts: int) -> None:
-    """Guards against an order of starts that favours teams with long or short runs."""
+    """The order of starts must not favour teams with long or with short runs."""
     queues = {name: TeamQueue(name) for name in plans}
     served_s = dict.fromkeys(plans, 0.0)
     for _ in range(starts):
@@ -144,7 +144,7 @@
     )
 )
 def test_room(room: PoolRoom) -> None:
-    """Guards against starts that take the slots of peers or of urgent work, and against stalls."""
+    """An entry must not use slots of peers or of urgent work, nor wait while it may use one."""
     rule = decide_room(room, urgent=False)
     assert decide_room(room, urgent=True) is RoomRule.ANY
     if room.urgent_ready_at_peers >= max(1, room.free_slots):
@@ -160,7 +160,7 @@
 @STEADY
 @given(st.integers(0, 2000), st.floats(0.001, 1000))
 def test_urgent_reserve(slots: int, mean_run_s: float) -> None:
-    """Guards against a reserve that is too large, or missing where turnover is too slow."""
+    """Slots must be reserved if turnover is too slow, but not more than the highest ratio."""
     reserved = count_reserved_slots(slots, mean_run_s)
     assert 0 <= reserved <= max(1, slots * HIGHEST_RESERVE_RATIO)
     if mean_run_s <= URGENT_START_S * TURNOVER_PART:
@@ -173,7 +173,7 @@
 @STEADY
 @given(st.lists(st.floats(0.01, 100), min_size=1, max_size=50), st.integers(1, 100))
 def test_estimates(runs_s: list[float], ahead: int) -> None:
-    """Guards against refusals without measurements, and against estimates outside what was seen."""
+    """No request is refused without enough samples, and estimates stay in the measured range."""
     service = ServiceTime()
     assert can_meet_deadline(service, 0, 0.001)
     for run_s in runs_s:
@@ -194,7 +194,7 @@
 @STEADY
 @given(st.integers(0, 40), st.sets(st.integers(0, 40)), st.integers(0, 1000))
 def test_target_choice(count: int, excluded: set[int], seed: int) -> None:
-    """Guards against an excluded target, and against no target while one is allowed."""
+    """An excluded target is never chosen, and some target is chosen if one is allowed."""
     target_names = [str(number) for number in range(count)]
     allowed = [name for name in target_names if int(name) not in excluded]
     chosen = choose_target(target_names, int, allowed.__contains__, random.Random(seed))
@@ -202,7 +202,7 @@
 
 
 def test_two_choices_avoid_the_most_loaded() -> None:
-    """Guards against a choice that ignores the load."""
+    """The most loaded of three targets is never the better of two random ones."""
     generator = random.Random(1)
     chosen = [choose_target(['1', '2', '3'], int, bool, generator) for _ in range(300)]
     assert '3' not in chosen
