--- a/comfreywind/decisions/room_rule.py
+++ b/comfreywind/decisions/room_rule.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 
-class RoomRule(enum.Enum):
+class CapacityRule(enum.Enum):
     """Targets that a request may be sent to.
 
     `KNOWN_ROOM` are the targets that have a free slot as far as this entry knows. `ANY` includes
@@ -36,7 +36,7 @@
     peers_below_quota: bool
 
 
-def decide_room(room: PoolRoom, urgent: bool) -> RoomRule:
+def decide_room(room: PoolRoom, urgent: bool) -> CapacityRule:
     """Return which targets the next request may be sent to.
 
     An entry is the first to know that a slot is free when its own request has ended, so it would
@@ -44,11 +44,11 @@
     its own quota and has work waiting.
     """
     if urgent:
-        return RoomRule.ANY
+        return CapacityRule.ANY
     if room.urgent_ready_at_peers and room.free_slots <= room.urgent_ready_at_peers:
-        return RoomRule.NONE
+        return CapacityRule.NONE
     if room.running < room.quota_slots:
-        return RoomRule.ANY
+        return CapacityRule.ANY
     if room.peers_below_quota or room.free_slots <= room.reserved_slots:
-        return RoomRule.NONE
-    return RoomRule.KNOWN_ROOM
+        return CapacityRule.NONE
+    return CapacityRule.KNOWN_ROOM
--- a/comfreywind/entry/target_pool.py
+++ b/comfreywind/entry/target_pool.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from comfreywind.decisions.room_rule import RoomRule
+from comfreywind.decisions.room_rule import CapacityRule
 from comfreywind.decisions.target_choice import choose_target
 from comfreywind.entry.name_set import NameSet
 from comfreywind.entry.target_admission import TargetAdmission
@@ -77,10 +77,10 @@
         for name in changed:
             self._update(name)
 
-    def choose(self, rule: RoomRule, ticket: Ticket) -> VmEntry | None:
+    def choose(self, rule: CapacityRule, ticket: Ticket) -> VmEntry | None:
         """Return a target that the rule and the ticket allow, or None."""
         is_allowed = partial(self._is_allowed, ticket)
-        groups = (*self._with_room, *self._open) if rule is RoomRule.ANY else self._with_room
+        groups = (*self._with_room, *self._open) if rule is CapacityRule.ANY else self._with_room
         for group in groups:
             name = choose_target(group.names, self._read_weight, is_allowed, self._generator)
             if name is not None:
