--- a/comfreywind/decisions/room_rule.py
+++ b/comfreywind/decisions/room_rule.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoolRoom:
+class PoolCapacity:
     """Capacity of one pool as this entry sees it.
 
     `running` is the number of requests that this entry runs there and `quota_slots` its share of
@@ -36,7 +36,7 @@
     peers_below_quota: bool
 
 
-def decide_room(room: PoolRoom, urgent: bool) -> CapacityRule:
+def decide_room(room: PoolCapacity, urgent: bool) -> CapacityRule:
     """Return which targets the next request may be sent to.
 
     An entry is the first to know that a slot is free when its own request has ended, so it would
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -5,7 +5,7 @@
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.clock import Clock
 from comfreywind.decisions.pool_plan import LoadsByTeam, PoolPlan, make_pool_plan
-from comfreywind.decisions.room_rule import PoolRoom
+from comfreywind.decisions.room_rule import PoolCapacity
 from comfreywind.decisions.slot_rounding import make_offset
 from comfreywind.decisions.urgent_reserve import count_reserved_slots
 from comfreywind.entry.placement import Placement
@@ -98,9 +98,9 @@
         team_queue.catch_up(self._virtual_time_s)
         return True
 
-    def make_room(self) -> PoolRoom:
+    def make_room(self) -> PoolCapacity:
         """Return the figures that decide where the next request may go."""
-        return PoolRoom(
+        return PoolCapacity(
             running=self.running,
             quota_slots=self.plan.slots,
             free_slots=self.targets.free_slots,
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -9,7 +9,7 @@
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.decisions.fair_share import ShareClaim, compute_fair_shares
 from comfreywind.decisions.pool_plan import make_pool_plan
-from comfreywind.decisions.room_rule import PoolRoom, CapacityRule, decide_room
+from comfreywind.decisions.room_rule import PoolCapacity, CapacityRule, decide_room
 from comfreywind.decisions.service_time import (
     WAIT_MARGIN,
     ServiceTime,
@@ -134,7 +134,7 @@
 @STEADY
 @given(
     st.builds(
-        PoolRoom,
+        PoolCapacity,
         running=st.integers(0, 40),
         quota_slots=st.integers(0, 40),
         free_slots=st.integers(0, 40),
@@ -143,7 +143,7 @@
         peers_below_quota=st.booleans(),
     )
 )
-def test_room(room: PoolRoom) -> None:
+def test_room(room: PoolCapacity) -> None:
     """An entry must not use slots of peers or of urgent work, nor wait while it may use one."""
     rule = decide_room(room, urgent=False)
     assert decide_room(room, urgent=True) is CapacityRule.ANY
