--- a/comfreywind/decisions/room_rule.py
+++ b/comfreywind/decisions/room_rule.py
@@ -36,7 +36,7 @@
     peers_below_quota: bool
 
 
-def decide_room(room: PoolCapacity, urgent: bool) -> CapacityRule:
+def decide_capacity_rule(room: PoolCapacity, urgent: bool) -> CapacityRule:
     """Return which targets the next request may be sent to.
 
     An entry is the first to know that a slot is free when its own request has ended, so it would
--- a/comfreywind/entry/dispatch_policy.py
+++ b/comfreywind/entry/dispatch_policy.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from comfreywind.decisions.room_rule import CapacityRule, decide_room
+from comfreywind.decisions.room_rule import CapacityRule, decide_capacity_rule
 from comfreywind.decisions.start_order import choose_team
 from comfreywind.entry.lane import Lane
 from comfreywind.entry.pool_queue import PoolQueue
@@ -44,7 +44,7 @@
 
     def choose_target(self, pool: PoolQueue, urgent: bool, ticket: Ticket) -> VmEntry | None:
         """Return the less loaded of two random targets with room."""
-        rule = decide_room(pool.make_room(), urgent)
+        rule = decide_capacity_rule(pool.make_room(), urgent)
         return None if rule is CapacityRule.NONE else pool.targets.choose(rule, ticket)
 
 
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -9,7 +9,7 @@
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.decisions.fair_share import ShareClaim, compute_fair_shares
 from comfreywind.decisions.pool_plan import make_pool_plan
-from comfreywind.decisions.room_rule import PoolCapacity, CapacityRule, decide_room
+from comfreywind.decisions.room_rule import PoolCapacity, CapacityRule, decide_capacity_rule
 from comfreywind.decisions.service_time import (
     WAIT_MARGIN,
     ServiceTime,
@@ -145,8 +145,8 @@
 )
 def test_room(room: PoolCapacity) -> None:
     """An entry must not use slots of peers or of urgent work, nor wait while it may use one."""
-    rule = decide_room(room, urgent=False)
-    assert decide_room(room, urgent=True) is CapacityRule.ANY
+    rule = decide_capacity_rule(room, urgent=False)
+    assert decide_capacity_rule(room, urgent=True) is CapacityRule.ANY
     if room.urgent_ready_at_peers >= max(1, room.free_slots):
         assert rule is CapacityRule.NONE
     elif room.running < room.quota_slots:
