--- a/comfreywind/decisions/room_rule.py
+++ b/comfreywind/decisions/room_rule.py
@@ -7,13 +7,13 @@
 class CapacityRule(enum.Enum):
     """Targets that a request may be sent to.
 
-    `KNOWN_ROOM` are the targets that have a free slot as far as this entry knows. `ANY` includes
+    `KNOWN_FREE_CAPACITY` are the targets that have a free slot as far as this entry knows. `ANY` includes
     targets that peers have reported as full: such a report may be out of date, the target itself
     refuses a request for which it has no slot, and a refusal costs one round trip.
     """
 
     NONE = 'none'
-    KNOWN_ROOM = 'known-room'
+    KNOWN_FREE_CAPACITY = 'known-room'
     ANY = 'any'
 
 
@@ -51,4 +51,4 @@
         return CapacityRule.ANY
     if room.peers_below_quota or room.free_slots <= room.reserved_slots:
         return CapacityRule.NONE
-    return CapacityRule.KNOWN_ROOM
+    return CapacityRule.KNOWN_FREE_CAPACITY
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -154,7 +154,7 @@
     elif room.peers_below_quota or room.free_slots <= room.reserved_slots:
         assert rule is CapacityRule.NONE
     else:
-        assert rule is CapacityRule.KNOWN_ROOM
+        assert rule is CapacityRule.KNOWN_FREE_CAPACITY
 
 
 @STEADY
