--- a/comfreywind/platform/settled_write.py
+++ b/comfreywind/platform/settled_write.py
@@ -4,7 +4,7 @@
 import uuid
 from typing import Any
 
-from comfreywind.decisions.settle_write import WriteOutcome, settle_write
+from comfreywind.decisions.resolve_write import WriteOutcome, settle_write
 from comfreywind.errors import RowConflictError, StoreUnavailableError
 from comfreywind.platform.row import Row
 from comfreywind.platform.row_write import RowWrite
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -10,7 +10,7 @@
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
 from comfreywind.decisions.set_digest import exchange_row
-from comfreywind.decisions.settle_write import WriteOutcome, settle_write
+from comfreywind.decisions.resolve_write import WriteOutcome, settle_write
 from comfreywind.decisions.view_mark import ViewMark
 
 OWN = OwnView(ViewMark(2, 10, 20), 2, frozenset({11}), frozenset({21}))
