--- a/comfreywind/decisions/claim.py
+++ b/comfreywind/decisions/claim.py
@@ -85,7 +85,7 @@
     return ClaimEnd.RELEASE if outcome is Outcome.NOT_RUN else ClaimEnd.WRITE_OUTCOME
 
 
-def is_end_settled(end: ClaimEnd, row: ClaimRow | None, claim_id: str) -> bool:
+def is_end_resolved(end: ClaimEnd, row: ClaimRow | None, claim_id: str) -> bool:
     """Return whether the row, as just read, needs no further write for the end of the claim."""
     if row is None or row.claim_id != claim_id:
         return True
--- a/comfreywind/entry/claims.py
+++ b/comfreywind/entry/claims.py
@@ -16,7 +16,7 @@
     decide_after_write,
     decide_claim_end,
     find_write_condition,
-    is_end_settled,
+    is_end_resolved,
 )
 from comfreywind.decisions.refusal import Outcome, Refusal, RefusalReason
 from comfreywind.entry.claim import Claim
@@ -173,7 +173,7 @@
     async def _find_version(self, claim: Claim, end: ClaimEnd) -> int | None:
         await self._writer.wait_for_flight()
         row = await self._read(claim)
-        if row is None or is_end_settled(end, row, claim.claim_id):
+        if row is None or is_end_resolved(end, row, claim.claim_id):
             return None
         return row.version
 
--- a/tests/model/claims_model.py
+++ b/tests/model/claims_model.py
@@ -15,7 +15,7 @@
     decide_after_write,
     decide_claim_end,
     find_write_condition,
-    is_end_settled,
+    is_end_resolved,
 )
 from comfreywind.decisions.refusal import Outcome
 
@@ -130,7 +130,7 @@
     A lost reply needs no step of its own: the write is then retried, which is the same step again.
     """
     end = ClaimEnd[request.phase]
-    if is_end_settled(end, _to_claim_row(row), name):
+    if is_end_resolved(end, _to_claim_row(row), name):
         yield 'settled', row, runs, request._replace(phase='done')
         return
     deleted = Row(version=row.version)
