--- a/comfreywind/decisions/claim.py
+++ b/comfreywind/decisions/claim.py
@@ -75,7 +75,7 @@
     return ClaimStep.REJECT_TAKEN
 
 
-def find_write_condition(row: ClaimRow | None) -> int:
+def get_write_condition(row: ClaimRow | None) -> int:
     """Return the row version that the write of a claim is conditional on, 0 for a missing row."""
     return 0 if row is None else row.version
 
--- a/comfreywind/entry/claims.py
+++ b/comfreywind/entry/claims.py
@@ -15,7 +15,7 @@
     decide_after_read,
     decide_after_write,
     decide_claim_end,
-    find_write_condition,
+    get_write_condition,
     is_end_resolved,
 )
 from comfreywind.decisions.refusal import Outcome, Refusal, RefusalReason
@@ -106,7 +106,7 @@
         step = ClaimStep.WRITE
         while True:
             if step is ClaimStep.WRITE:
-                condition = find_write_condition(row)
+                condition = get_write_condition(row)
                 step = decide_after_write(await self._write(claim, condition))
             elif step is ClaimStep.READ:
                 row = await self._read_until_answered(claim)
--- a/tests/model/claims_model.py
+++ b/tests/model/claims_model.py
@@ -14,7 +14,7 @@
     decide_after_read,
     decide_after_write,
     decide_claim_end,
-    find_write_condition,
+    get_write_condition,
     is_end_resolved,
 )
 from comfreywind.decisions.refusal import Outcome
@@ -118,7 +118,7 @@
 ) -> tuple[str, Row, int, Request]:
     claim_row = _to_claim_row(row)
     step = decide_after_read(claim_row, name, 'same', 0)
-    condition = find_write_condition(claim_row)
+    condition = get_write_condition(claim_row)
     return 'read', row, runs, _advance(request, step)._replace(condition=condition)
 
 
