--- a/comfreywind/entry/portions/session_keeper.py
+++ b/comfreywind/entry/portions/session_keeper.py
@@ -6,7 +6,7 @@
 import trio
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.portions.guard import Guard
+from comfreywind.decisions.portions.session_state import Guard
 from comfreywind.decisions.portions.guard_events import RenewalConfirmed
 from comfreywind.decisions.portions.holder_name import make_holder
 from comfreywind.decisions.portions.session_timing import SessionTiming
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from comfreywind.decisions.portions.guard import Guard
+from comfreywind.decisions.portions.session_state import Guard
 from comfreywind.decisions.portions.guard_effects import GrantPromise, RefusePromise
 from comfreywind.decisions.portions.guard_events import FenceAsked, PromiseAsked, RenewalSeen
 from comfreywind.decisions.portions.guard_step import apply_guard_event
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -20,7 +20,7 @@
     is_expired,
     list_missing,
 )
-from comfreywind.decisions.portions.guard import Guard, is_session_valid
+from comfreywind.decisions.portions.session_state import Guard, is_session_valid
 from comfreywind.decisions.portions.guard_effects import AgreeToFence, GrantPromise
 from comfreywind.decisions.portions.guard_events import (
     FenceAsked,
--- a/tests/portions/test_unit_turns.py
+++ b/tests/portions/test_unit_turns.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from comfreywind.decisions.portions.guard import Guard
+from comfreywind.decisions.portions.session_state import Guard
 from comfreywind.decisions.portions.holder_name import make_holder
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.session_timing import SessionTiming
