--- a/comfreywind/decisions/portions/guard_step.py
+++ b/comfreywind/decisions/portions/guard_step.py
@@ -10,7 +10,7 @@
     GuardEffect,
     RefusePromise,
 )
-from comfreywind.decisions.portions.guard_events import (
+from comfreywind.decisions.portions.session_events import (
     FenceAsked,
     FenceSeen,
     GuardEvent,
--- a/comfreywind/entry/portions/promise_exchange.py
+++ b/comfreywind/entry/portions/promise_exchange.py
@@ -5,7 +5,7 @@
 
 from comfreywind.clock import Clock
 from comfreywind.decisions.portions.guard_effects import GrantPromise
-from comfreywind.decisions.portions.guard_events import PromiseAsked, PromiseReceived
+from comfreywind.decisions.portions.session_events import PromiseAsked, PromiseReceived
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_view import PortionView
 from comfreywind.peers.messages.promise_grant import PromiseGrant
--- a/comfreywind/entry/portions/session_keeper.py
+++ b/comfreywind/entry/portions/session_keeper.py
@@ -7,7 +7,7 @@
 
 from comfreywind.clock import Clock
 from comfreywind.decisions.portions.session_state import Guard
-from comfreywind.decisions.portions.guard_events import RenewalConfirmed
+from comfreywind.decisions.portions.session_events import RenewalConfirmed
 from comfreywind.decisions.portions.holder_name import make_holder
 from comfreywind.decisions.portions.session_timing import SessionTiming
 from comfreywind.decisions.portions.totals import read_total
