--- a/comfreywind/decisions/portions/guard_step.py
+++ b/comfreywind/decisions/portions/guard_step.py
@@ -4,7 +4,7 @@
 from functools import singledispatch
 
 from comfreywind.decisions.portions.session_state import Guard, is_session_valid
-from comfreywind.decisions.portions.guard_effects import (
+from comfreywind.decisions.portions.session_effects import (
     AgreeToFence,
     GrantPromise,
     GuardEffect,
--- a/comfreywind/entry/portions/fence_keeper.py
+++ b/comfreywind/entry/portions/fence_keeper.py
@@ -11,7 +11,7 @@
     is_expired,
     list_missing,
 )
-from comfreywind.decisions.portions.guard_effects import AgreeToFence
+from comfreywind.decisions.portions.session_effects import AgreeToFence
 from comfreywind.decisions.portions.session_events import FenceAsked, RenewalSeen
 from comfreywind.decisions.portions.session_timing import SessionTiming
 from comfreywind.entry.portions.failure_detector import FailureDetector
--- a/comfreywind/entry/portions/promise_exchange.py
+++ b/comfreywind/entry/portions/promise_exchange.py
@@ -4,7 +4,7 @@
 import logging
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.portions.guard_effects import GrantPromise
+from comfreywind.decisions.portions.session_effects import GrantPromise
 from comfreywind.decisions.portions.session_events import PromiseAsked, PromiseReceived
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_view import PortionView
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -21,7 +21,7 @@
     list_missing,
 )
 from comfreywind.decisions.portions.session_state import Guard, is_session_valid
-from comfreywind.decisions.portions.guard_effects import AgreeToFence, GrantPromise
+from comfreywind.decisions.portions.session_effects import AgreeToFence, GrantPromise
 from comfreywind.decisions.portions.session_events import (
     FenceAsked,
     FenceSeen,
