--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -8,7 +8,7 @@
 from comfreywind.decisions.portions.session_state import Guard, is_committed, is_session_valid
 from comfreywind.decisions.portions.session_effects import GuardEffect
 from comfreywind.decisions.portions.session_events import FenceSeen, GuardEvent
-from comfreywind.decisions.portions.guard_step import apply_guard_event
+from comfreywind.decisions.portions.session_transitions import apply_guard_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import (
     count_held_units,
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -5,7 +5,7 @@
 from comfreywind.decisions.portions.session_state import Guard
 from comfreywind.decisions.portions.session_effects import GrantPromise, RefusePromise
 from comfreywind.decisions.portions.session_events import FenceAsked, PromiseAsked, RenewalSeen
-from comfreywind.decisions.portions.guard_step import apply_guard_event
+from comfreywind.decisions.portions.session_transitions import apply_guard_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import is_blocked
 from comfreywind.decisions.portions.portion_row import PortionRow
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -31,7 +31,7 @@
     RenewalConfirmed,
     RenewalSeen,
 )
-from comfreywind.decisions.portions.guard_step import apply_guard_event
+from comfreywind.decisions.portions.session_transitions import apply_guard_event
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import (
     finish_reclaim,
