--- a/comfreywind/decisions/portions/session_state.py
+++ b/comfreywind/decisions/portions/session_state.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Guard:
+class SessionState:
     """Session of one incarnation of an entry; times are monotonic, in seconds.
 
     `granted` maps each holder that this entry gave a promise to the time at which the promise ends.
@@ -26,11 +26,11 @@
     commitments: Totals = ()
 
 
-def is_session_valid(guard: Guard, now_s: float) -> bool:
+def is_session_valid(guard: SessionState, now_s: float) -> bool:
     """Return whether the entry may start work, give promises and give units."""
     return not guard.fenced and now_s < guard.valid_until_s
 
 
-def is_committed(guard: Guard, holder: str) -> bool:
+def is_committed(guard: SessionState, holder: str) -> bool:
     """Return whether the entry agreed to fence the holder; it then exchanges no units with it."""
     return any(name == holder for name, _ in guard.commitments)
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 from functools import singledispatch
 
-from comfreywind.decisions.portions.session_state import Guard, is_session_valid
+from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
 from comfreywind.decisions.portions.session_effects import (
     AgreeToFence,
     GrantPromise,
@@ -21,29 +21,29 @@
 )
 from comfreywind.decisions.portions.totals import Totals, raise_total, read_total
 
-GuardStep = tuple[Guard, tuple[GuardEffect, ...]]
+GuardStep = tuple[SessionState, tuple[GuardEffect, ...]]
 
 
 @singledispatch
-def apply_guard_event(event: GuardEvent, guard: Guard) -> GuardStep:
+def apply_guard_event(event: GuardEvent, guard: SessionState) -> GuardStep:
     """Return the session state after the event, and the messages to send."""
     raise TypeError(f'no transition is registered for the event {type(event).__name__}')
 
 
 @apply_guard_event.register
-def _handle_renewal_confirmed(event: RenewalConfirmed, guard: Guard) -> GuardStep:
+def _handle_renewal_confirmed(event: RenewalConfirmed, guard: SessionState) -> GuardStep:
     extended = _extend_session(guard, event.sent_s)
     number = max(guard.renewal_number, event.renewal_number)
     return replace(extended, renewal_number=number), ()
 
 
 @apply_guard_event.register
-def _handle_promise_received(event: PromiseReceived, guard: Guard) -> GuardStep:
+def _handle_promise_received(event: PromiseReceived, guard: SessionState) -> GuardStep:
     return _extend_session(guard, event.asked_s), ()
 
 
 @apply_guard_event.register
-def _handle_promise_request(event: PromiseAsked, guard: Guard) -> GuardStep:
+def _handle_promise_request(event: PromiseAsked, guard: SessionState) -> GuardStep:
     current = _drop_outdated_commitment(guard, event.holder, event.renewal_number)
     committed = any(name == event.holder for name, _ in current.commitments)
     if committed or not event.is_member or not is_session_valid(current, event.now_s):
@@ -54,7 +54,7 @@
 
 
 @apply_guard_event.register
-def _handle_fence_request(event: FenceAsked, guard: Guard) -> GuardStep:
+def _handle_fence_request(event: FenceAsked, guard: SessionState) -> GuardStep:
     if guard.fenced or event.now_s < guard.silent_until_s:
         return guard, ()
     granted = _list_unexpired(guard, event.now_s)
@@ -66,21 +66,23 @@
 
 
 @apply_guard_event.register
-def _handle_observed_renewal(event: RenewalSeen, guard: Guard) -> GuardStep:
+def _handle_observed_renewal(event: RenewalSeen, guard: SessionState) -> GuardStep:
     return _drop_outdated_commitment(guard, event.holder, event.renewal_number), ()
 
 
 @apply_guard_event.register
-def _handle_observed_fence(event: FenceSeen, guard: Guard) -> GuardStep:
+def _handle_observed_fence(event: FenceSeen, guard: SessionState) -> GuardStep:
     return replace(guard, fenced=True), ()
 
 
-def _extend_session(guard: Guard, counted_from_s: float) -> Guard:
+def _extend_session(guard: SessionState, counted_from_s: float) -> SessionState:
     until_s = counted_from_s + guard.timing.ttl_s
     return replace(guard, valid_until_s=max(guard.valid_until_s, until_s))
 
 
-def _drop_outdated_commitment(guard: Guard, holder: str, renewal_number: int) -> Guard:
+def _drop_outdated_commitment(
+    guard: SessionState, holder: str, renewal_number: int
+) -> SessionState:
     """Drop the agreement to a fence that can no longer succeed because the holder has renewed."""
     if read_total(guard.commitments, holder) >= renewal_number:
         return guard
@@ -88,5 +90,5 @@
     return replace(guard, commitments=remaining)
 
 
-def _list_unexpired(guard: Guard, now_s: float) -> Totals:
+def _list_unexpired(guard: SessionState, now_s: float) -> Totals:
     return tuple(pair for pair in guard.granted if now_s < pair[1])
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -5,7 +5,11 @@
 from dataclasses import replace
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.portions.session_state import Guard, is_committed, is_session_valid
+from comfreywind.decisions.portions.session_state import (
+    SessionState,
+    is_committed,
+    is_session_valid,
+)
 from comfreywind.decisions.portions.session_effects import GuardEffect
 from comfreywind.decisions.portions.session_events import FenceSeen, GuardEvent
 from comfreywind.decisions.portions.session_transitions import apply_guard_event
@@ -36,7 +40,7 @@
         self._ledgers: dict[str, Ledger] = {}
         self._held: dict[str, int] = {}
         self._wake_functions: list[WakeTeam] = []
-        self.guard: Guard | None = None
+        self.guard: SessionState | None = None
         self.leaving = False
         self.used: Counter[str] = Counter()
         self.orphaned: Counter[str] = Counter()
@@ -58,7 +62,7 @@
             for wake_team in self._wake_functions:
                 wake_team(team)
 
-    def join(self, guard: Guard) -> None:
+    def join(self, guard: SessionState) -> None:
         """Start as a new incarnation that holds nothing.
 
         Work that the last incarnation started runs on; its units are reclaimed by time and don't
--- a/comfreywind/entry/portions/session_keeper.py
+++ b/comfreywind/entry/portions/session_keeper.py
@@ -6,7 +6,7 @@
 import trio
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.portions.session_state import Guard
+from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.session_events import RenewalConfirmed
 from comfreywind.decisions.portions.holder_name import make_holder
 from comfreywind.decisions.portions.session_timing import SessionTiming
@@ -162,5 +162,5 @@
             # An earlier process of this name may have promised something that isn't known here.
             silent_s = self._clock.read_monotonic_s() + self._timing.observed_ttl_s
         holder = make_holder(member.name, member.incarnation)
-        self._book.join(Guard(holder, self._timing, silent_s))
+        self._book.join(SessionState(holder, self._timing, silent_s))
         log.info('joined as %s', holder)
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from comfreywind.decisions.portions.session_state import Guard
+from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.session_effects import GrantPromise, RefusePromise
 from comfreywind.decisions.portions.session_events import FenceAsked, PromiseAsked, RenewalSeen
 from comfreywind.decisions.portions.session_transitions import apply_guard_event
@@ -20,7 +20,7 @@
 from comfreywind.decisions.portions.unit_shares import UnitDemand, decide_transfer
 
 ROW = PortionRow(10, 1, recorded=(('a@1', 4), ('b@1', 2)))
-GUARD = Guard('a@1', SessionTiming(4, 0.01), silent_until_s=0, valid_until_s=100)
+GUARD = SessionState('a@1', SessionTiming(4, 0.01), silent_until_s=0, valid_until_s=100)
 TRANSFER_CASES = (
     ('idle units go to who asks', UnitDemand(8, 0), UnitDemand(0, 5), 5, False, 5),
     ('no more than is spare', UnitDemand(8, 6), UnitDemand(8, 9), 5, False, 2),
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -20,7 +20,7 @@
     is_expired,
     list_missing,
 )
-from comfreywind.decisions.portions.session_state import Guard, is_session_valid
+from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
 from comfreywind.decisions.portions.session_effects import AgreeToFence, GrantPromise
 from comfreywind.decisions.portions.session_events import (
     FenceAsked,
@@ -82,9 +82,9 @@
     `send_before_s` is the start limit of work on its way to the target.
     """
 
-    holder: Guard
-    peer: Guard
-    fencer: Guard
+    holder: SessionState
+    peer: SessionState
+    fencer: SessionState
     holder_awake: bool = True
     holder_alive: bool = True
     peer_alive: bool = True
@@ -129,8 +129,10 @@
 def make_initial_state(ttl: int) -> FenceState:
     """Return the state in which H, P and R are members and the holder has just renewed."""
     timing = SessionTiming(ttl_s=ttl, drift_ratio=0)
-    holder = Guard(HOLDER, timing, silent_until_s=0, valid_until_s=NOW + ttl, renewal_number=1)
-    peer = Guard(PEER, timing, silent_until_s=0, valid_until_s=ALWAYS)
+    holder = SessionState(
+        HOLDER, timing, silent_until_s=0, valid_until_s=NOW + ttl, renewal_number=1
+    )
+    peer = SessionState(PEER, timing, silent_until_s=0, valid_until_s=ALWAYS)
     return FenceState(holder, peer, replace(peer, holder=FENCER))
 
 
@@ -222,7 +224,7 @@
         silent_until_s = NOW + int(timing.ttl_s)
         if setup.removed is Removed.JOINER_SILENCE:
             silent_until_s = NOW
-        joiner = Guard(JOINER, timing, silent_until_s=silent_until_s, valid_until_s=ALWAYS)
+        joiner = SessionState(JOINER, timing, silent_until_s=silent_until_s, valid_until_s=ALWAYS)
         yield 'new member joins', state._replace(joined=True, peer=joiner)
     if not state.joined:
         return
@@ -280,7 +282,7 @@
     """Clear the fields that have no effect after the fence, to reduce the number of states."""
     timing = state.fencer.timing
     fence_attempt = FenceCase(HOLDER, 0, NOW - int(timing.ttl_s))
-    fencer = Guard(FENCER, timing, silent_until_s=0, valid_until_s=ALWAYS)
+    fencer = SessionState(FENCER, timing, silent_until_s=0, valid_until_s=ALWAYS)
     return state._replace(fence_attempt=fence_attempt, fencer=fencer, dead_seen_s=None)
 
 
@@ -382,7 +384,7 @@
     return None if time_s is None else max(int(time_s) - 1, lowest_s)
 
 
-def _age_guard(guard: Guard) -> Guard:
+def _age_guard(guard: SessionState) -> SessionState:
     granted = tuple((name, until - 1) for name, until in guard.granted if until - 1 > NOW)
     until_s = guard.valid_until_s
     if until_s < ALWAYS:
@@ -391,7 +393,7 @@
     return replace(guard, valid_until_s=until_s, granted=granted, silent_until_s=silent_until_s)
 
 
-def _apply_event(event: GuardEvent, guard: Guard) -> Guard:
+def _apply_event(event: GuardEvent, guard: SessionState) -> SessionState:
     return apply_guard_event(event, guard)[0]
 
 
--- a/tests/portions/test_unit_turns.py
+++ b/tests/portions/test_unit_turns.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from comfreywind.decisions.portions.session_state import Guard
+from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.holder_name import make_holder
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.session_timing import SessionTiming
@@ -67,7 +67,7 @@
         hub: Any = FakeHub(name, network)
         self.exchange = UnitExchange(hub, self.book, view, clock)
         timing = SessionTiming(4, 1)
-        self.book.join(Guard(make_holder(name, 1), timing, 0, valid_until_s=1e9))
+        self.book.join(SessionState(make_holder(name, 1), timing, 0, valid_until_s=1e9))
 
 
 class Client:
