--- a/comfreywind/decisions/portions/session_events.py
+++ b/comfreywind/decisions/portions/session_events.py
@@ -4,12 +4,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GuardEvent:
+class SessionEvent:
     """Base class of the session events."""
 
 
 @dataclass(frozen=True, slots=True)
-class RenewalConfirmed(GuardEvent):
+class RenewalConfirmed(SessionEvent):
     """The store has applied this entry's renewal; its write was sent at `sent_s`."""
 
     sent_s: float
@@ -17,14 +17,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromiseReceived(GuardEvent):
+class PromiseReceived(SessionEvent):
     """A member granted the promise that this entry requested at `asked_s`."""
 
     asked_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class PromiseAsked(GuardEvent):
+class PromiseAsked(SessionEvent):
     """A holder requests a promise.
 
     `renewal_number` is its highest renewal that the store has confirmed. `is_member` is True if the
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FenceAsked(GuardEvent):
+class FenceAsked(SessionEvent):
     """A member asks this entry to agree to the fence of a holder that stopped at this renewal."""
 
     holder: str
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RenewalSeen(GuardEvent):
+class RenewalSeen(SessionEvent):
     """This entry has read a renewal of another holder from the store."""
 
     holder: str
@@ -57,5 +57,5 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FenceSeen(GuardEvent):
+class FenceSeen(SessionEvent):
     """This entry has read from the store that its own incarnation was fenced."""
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -13,7 +13,7 @@
 from comfreywind.decisions.portions.session_events import (
     FenceAsked,
     FenceSeen,
-    GuardEvent,
+    SessionEvent,
     PromiseAsked,
     PromiseReceived,
     RenewalConfirmed,
@@ -25,7 +25,7 @@
 
 
 @singledispatch
-def apply_guard_event(event: GuardEvent, guard: SessionState) -> GuardStep:
+def apply_guard_event(event: SessionEvent, guard: SessionState) -> GuardStep:
     """Return the session state after the event, and the messages to send."""
     raise TypeError(f'no transition is registered for the event {type(event).__name__}')
 
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -11,7 +11,7 @@
     is_session_valid,
 )
 from comfreywind.decisions.portions.session_effects import GuardEffect
-from comfreywind.decisions.portions.session_events import FenceSeen, GuardEvent
+from comfreywind.decisions.portions.session_events import FenceSeen, SessionEvent
 from comfreywind.decisions.portions.session_transitions import apply_guard_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import (
@@ -79,7 +79,7 @@
         for resource in self._view.portions:
             self.see_portion(resource)
 
-    def apply(self, event: GuardEvent) -> tuple[GuardEffect, ...]:
+    def apply(self, event: SessionEvent) -> tuple[GuardEffect, ...]:
         """Apply the event to the guard and return the effects; nothing before the join."""
         if self.guard is None:
             return ()
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -25,7 +25,7 @@
 from comfreywind.decisions.portions.session_events import (
     FenceAsked,
     FenceSeen,
-    GuardEvent,
+    SessionEvent,
     PromiseAsked,
     PromiseReceived,
     RenewalConfirmed,
@@ -393,7 +393,7 @@
     return replace(guard, valid_until_s=until_s, granted=granted, silent_until_s=silent_until_s)
 
 
-def _apply_event(event: GuardEvent, guard: SessionState) -> SessionState:
+def _apply_event(event: SessionEvent, guard: SessionState) -> SessionState:
     return apply_guard_event(event, guard)[0]
 
 
