--- a/comfreywind/decisions/portions/session_effects.py
+++ b/comfreywind/decisions/portions/session_effects.py
@@ -4,26 +4,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GuardEffect:
+class SessionEffect:
     """Base class of the effects of session events."""
 
 
 @dataclass(frozen=True, slots=True)
-class GrantPromise(GuardEffect):
+class GrantPromise(SessionEffect):
     """Promise the holder not to agree to its fence while its extended session lasts."""
 
     holder: str
 
 
 @dataclass(frozen=True, slots=True)
-class RefusePromise(GuardEffect):
+class RefusePromise(SessionEffect):
     """Refuse the promise; the holder must ask another member or renew in the store."""
 
     holder: str
 
 
 @dataclass(frozen=True, slots=True)
-class AgreeToFence(GuardEffect):
+class AgreeToFence(SessionEffect):
     """Agree to the fence of the holder, and report all flows between this entry and the holder."""
 
     holder: str
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -7,7 +7,7 @@
 from comfreywind.decisions.portions.session_effects import (
     AgreeToFence,
     GrantPromise,
-    GuardEffect,
+    SessionEffect,
     RefusePromise,
 )
 from comfreywind.decisions.portions.session_events import (
@@ -21,7 +21,7 @@
 )
 from comfreywind.decisions.portions.totals import Totals, raise_total, read_total
 
-GuardStep = tuple[SessionState, tuple[GuardEffect, ...]]
+GuardStep = tuple[SessionState, tuple[SessionEffect, ...]]
 
 
 @singledispatch
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -10,7 +10,7 @@
     is_committed,
     is_session_valid,
 )
-from comfreywind.decisions.portions.session_effects import GuardEffect
+from comfreywind.decisions.portions.session_effects import SessionEffect
 from comfreywind.decisions.portions.session_events import FenceSeen, SessionEvent
 from comfreywind.decisions.portions.session_transitions import apply_guard_event
 from comfreywind.decisions.portions.ledger import Ledger
@@ -79,7 +79,7 @@
         for resource in self._view.portions:
             self.see_portion(resource)
 
-    def apply(self, event: SessionEvent) -> tuple[GuardEffect, ...]:
+    def apply(self, event: SessionEvent) -> tuple[SessionEffect, ...]:
         """Apply the event to the guard and return the effects; nothing before the join."""
         if self.guard is None:
             return ()
