--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -21,29 +21,29 @@
 )
 from comfreywind.decisions.portions.totals import Totals, raise_total, read_total
 
-GuardStep = tuple[SessionState, tuple[SessionEffect, ...]]
+SessionTransition = tuple[SessionState, tuple[SessionEffect, ...]]
 
 
 @singledispatch
-def apply_guard_event(event: SessionEvent, guard: SessionState) -> GuardStep:
+def apply_guard_event(event: SessionEvent, guard: SessionState) -> SessionTransition:
     """Return the session state after the event, and the messages to send."""
     raise TypeError(f'no transition is registered for the event {type(event).__name__}')
 
 
 @apply_guard_event.register
-def _handle_renewal_confirmed(event: RenewalConfirmed, guard: SessionState) -> GuardStep:
+def _handle_renewal_confirmed(event: RenewalConfirmed, guard: SessionState) -> SessionTransition:
     extended = _extend_session(guard, event.sent_s)
     number = max(guard.renewal_number, event.renewal_number)
     return replace(extended, renewal_number=number), ()
 
 
 @apply_guard_event.register
-def _handle_promise_received(event: PromiseReceived, guard: SessionState) -> GuardStep:
+def _handle_promise_received(event: PromiseReceived, guard: SessionState) -> SessionTransition:
     return _extend_session(guard, event.asked_s), ()
 
 
 @apply_guard_event.register
-def _handle_promise_request(event: PromiseAsked, guard: SessionState) -> GuardStep:
+def _handle_promise_request(event: PromiseAsked, guard: SessionState) -> SessionTransition:
     current = _drop_outdated_commitment(guard, event.holder, event.renewal_number)
     committed = any(name == event.holder for name, _ in current.commitments)
     if committed or not event.is_member or not is_session_valid(current, event.now_s):
@@ -54,7 +54,7 @@
 
 
 @apply_guard_event.register
-def _handle_fence_request(event: FenceAsked, guard: SessionState) -> GuardStep:
+def _handle_fence_request(event: FenceAsked, guard: SessionState) -> SessionTransition:
     if guard.fenced or event.now_s < guard.silent_until_s:
         return guard, ()
     granted = _list_unexpired(guard, event.now_s)
@@ -66,12 +66,12 @@
 
 
 @apply_guard_event.register
-def _handle_observed_renewal(event: RenewalSeen, guard: SessionState) -> GuardStep:
+def _handle_observed_renewal(event: RenewalSeen, guard: SessionState) -> SessionTransition:
     return _drop_outdated_commitment(guard, event.holder, event.renewal_number), ()
 
 
 @apply_guard_event.register
-def _handle_observed_fence(event: FenceSeen, guard: SessionState) -> GuardStep:
+def _handle_observed_fence(event: FenceSeen, guard: SessionState) -> SessionTransition:
     return replace(guard, fenced=True), ()
 
 
