--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -25,24 +25,24 @@
 
 
 @singledispatch
-def apply_guard_event(event: SessionEvent, guard: SessionState) -> SessionTransition:
+def apply_session_event(event: SessionEvent, guard: SessionState) -> SessionTransition:
     """Return the session state after the event, and the messages to send."""
     raise TypeError(f'no transition is registered for the event {type(event).__name__}')
 
 
-@apply_guard_event.register
+@apply_session_event.register
 def _handle_renewal_confirmed(event: RenewalConfirmed, guard: SessionState) -> SessionTransition:
     extended = _extend_session(guard, event.sent_s)
     number = max(guard.renewal_number, event.renewal_number)
     return replace(extended, renewal_number=number), ()
 
 
-@apply_guard_event.register
+@apply_session_event.register
 def _handle_promise_received(event: PromiseReceived, guard: SessionState) -> SessionTransition:
     return _extend_session(guard, event.asked_s), ()
 
 
-@apply_guard_event.register
+@apply_session_event.register
 def _handle_promise_request(event: PromiseAsked, guard: SessionState) -> SessionTransition:
     current = _drop_outdated_commitment(guard, event.holder, event.renewal_number)
     committed = any(name == event.holder for name, _ in current.commitments)
@@ -53,7 +53,7 @@
     return replace(current, granted=granted), (GrantPromise(event.holder),)
 
 
-@apply_guard_event.register
+@apply_session_event.register
 def _handle_fence_request(event: FenceAsked, guard: SessionState) -> SessionTransition:
     if guard.fenced or event.now_s < guard.silent_until_s:
         return guard, ()
@@ -65,12 +65,12 @@
     return agreed, (AgreeToFence(event.holder, event.renewal_number),)
 
 
-@apply_guard_event.register
+@apply_session_event.register
 def _handle_observed_renewal(event: RenewalSeen, guard: SessionState) -> SessionTransition:
     return _drop_outdated_commitment(guard, event.holder, event.renewal_number), ()
 
 
-@apply_guard_event.register
+@apply_session_event.register
 def _handle_observed_fence(event: FenceSeen, guard: SessionState) -> SessionTransition:
     return replace(guard, fenced=True), ()
 
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -12,7 +12,7 @@
 )
 from comfreywind.decisions.portions.session_effects import SessionEffect
 from comfreywind.decisions.portions.session_events import FenceSeen, SessionEvent
-from comfreywind.decisions.portions.session_transitions import apply_guard_event
+from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import (
     count_held_units,
@@ -83,7 +83,7 @@
         """Apply the event to the guard and return the effects; nothing before the join."""
         if self.guard is None:
             return ()
-        guard, effects = apply_guard_event(event, self.guard)
+        guard, effects = apply_session_event(event, self.guard)
         self.guard = guard
         return effects
 
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -31,7 +31,7 @@
     RenewalConfirmed,
     RenewalSeen,
 )
-from comfreywind.decisions.portions.session_transitions import apply_guard_event
+from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import (
     finish_reclaim,
@@ -241,14 +241,14 @@
         if setup.removed is Removed.JOINER_READ:
             is_member = True
         asked = PromiseAsked(HOLDER, state.holder.renewal_number, NOW, is_member)
-        guard, effects = apply_guard_event(asked, state.peer)
+        guard, effects = apply_session_event(asked, state.peer)
         if effects == (GrantPromise(HOLDER),):
             yield 'peer grants promise', state._replace(peer=guard, grant_requested_s=NOW)
     seen = RenewalSeen(HOLDER, state.member_renewal)
     if _apply_event(seen, state.peer) != state.peer:
         yield 'peer sees renewal', state._replace(peer=_apply_event(seen, state.peer))
     query = FenceAsked(HOLDER, state.fence_attempt.renewal_number, NOW)
-    guard, effects = apply_guard_event(query, state.peer)
+    guard, effects = apply_session_event(query, state.peer)
     if not effects or state.member_fenced:
         return
     yield 'peer agrees, its reply is lost', state._replace(peer=guard)
@@ -288,7 +288,7 @@
 
 def _list_fencer_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
     query = FenceAsked(HOLDER, state.fence_attempt.renewal_number, NOW)
-    guard, effects = apply_guard_event(query, state.fencer)
+    guard, effects = apply_session_event(query, state.fencer)
     if effects and not state.member_fenced:
         yield (
             'fencer agrees',
@@ -298,7 +298,7 @@
         )
     if state.holder_alive and state.holder_awake:
         asked = PromiseAsked(HOLDER, state.holder.renewal_number, NOW, not state.member_fenced)
-        guard, grants = apply_guard_event(asked, state.fencer)
+        guard, grants = apply_session_event(asked, state.fencer)
         if grants == (GrantPromise(HOLDER),):
             yield 'fencer grants promise', state._replace(fencer=guard, grant_requested_s=NOW)
     if state.member_renewal != state.fence_attempt.renewal_number and not state.member_fenced:
@@ -394,7 +394,7 @@
 
 
 def _apply_event(event: SessionEvent, guard: SessionState) -> SessionState:
-    return apply_guard_event(event, guard)[0]
+    return apply_session_event(event, guard)[0]
 
 
 def _add_member_agreement(fence_attempt: FenceCase, member: str) -> FenceCase:
