--- a/comfreywind/decisions/resolve_write.py
+++ b/comfreywind/decisions/resolve_write.py
@@ -12,7 +12,7 @@
     UNKNOWN = enum.auto()
 
 
-def settle_write(
+def resolve_write(
     expected_version: int, write_id: str, row_version: int, row_write_id: str
 ) -> WriteOutcome:
     """Return the outcome, given the row as read after the write; version 0 means a missing row.
--- a/comfreywind/platform/settled_write.py
+++ b/comfreywind/platform/settled_write.py
@@ -4,7 +4,7 @@
 import uuid
 from typing import Any
 
-from comfreywind.decisions.resolve_write import WriteOutcome, settle_write
+from comfreywind.decisions.resolve_write import WriteOutcome, resolve_write
 from comfreywind.errors import RowConflictError, StoreUnavailableError
 from comfreywind.platform.row import Row
 from comfreywind.platform.row_write import RowWrite
@@ -50,7 +50,7 @@
     row = await tables.read_row(write.table, write.key)
     found = row or Row(write.table, write.key, 0, None)
     expected_version = write.expected_version or 0
-    outcome = settle_write(
+    outcome = resolve_write(
         expected_version, _read_write_id(write.value), found.version, _read_write_id(found.value)
     )
     if outcome is WriteOutcome.REFUSED:
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -10,7 +10,7 @@
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
 from comfreywind.decisions.set_digest import exchange_row
-from comfreywind.decisions.resolve_write import WriteOutcome, settle_write
+from comfreywind.decisions.resolve_write import WriteOutcome, resolve_write
 from comfreywind.decisions.view_mark import ViewMark
 
 OWN = OwnView(ViewMark(2, 10, 20), 2, frozenset({11}), frozenset({21}))
@@ -84,4 +84,4 @@
 @pytest.mark.parametrize(('expected', 'found', 'write_id', 'outcome'), WRITE_CASES)
 def test_settle_write(expected: int, found: int, write_id: str, outcome: WriteOutcome) -> None:
     """A write must not be reported as applied or refused unless the row proves it."""
-    assert settle_write(expected, 'own', found, write_id) is outcome
+    assert resolve_write(expected, 'own', found, write_id) is outcome
