--- a/comfreywind/decisions/portions/session_state.py
+++ b/comfreywind/decisions/portions/session_state.py
@@ -26,11 +26,11 @@
     commitments: Totals = ()
 
 
-def is_session_valid(guard: SessionState, now_s: float) -> bool:
+def is_session_valid(session_state: SessionState, now_s: float) -> bool:
     """Return whether the entry may start work, give promises and give units."""
-    return not guard.fenced and now_s < guard.valid_until_s
+    return not session_state.fenced and now_s < session_state.valid_until_s
 
 
-def is_committed(guard: SessionState, holder: str) -> bool:
+def is_committed(session_state: SessionState, holder: str) -> bool:
     """Return whether the entry agreed to fence the holder; it then exchanges no units with it."""
-    return any(name == holder for name, _ in guard.commitments)
+    return any(name == holder for name, _ in session_state.commitments)
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -25,26 +25,30 @@
 
 
 @singledispatch
-def apply_session_event(event: SessionEvent, guard: SessionState) -> SessionTransition:
+def apply_session_event(event: SessionEvent, session_state: SessionState) -> SessionTransition:
     """Return the session state after the event, and the messages to send."""
     raise TypeError(f'no transition is registered for the event {type(event).__name__}')
 
 
 @apply_session_event.register
-def _handle_renewal_confirmed(event: RenewalConfirmed, guard: SessionState) -> SessionTransition:
-    extended = _extend_session(guard, event.sent_s)
-    number = max(guard.renewal_number, event.renewal_number)
+def _handle_renewal_confirmed(
+    event: RenewalConfirmed, session_state: SessionState
+) -> SessionTransition:
+    extended = _extend_session(session_state, event.sent_s)
+    number = max(session_state.renewal_number, event.renewal_number)
     return replace(extended, renewal_number=number), ()
 
 
 @apply_session_event.register
-def _handle_promise_received(event: PromiseReceived, guard: SessionState) -> SessionTransition:
-    return _extend_session(guard, event.asked_s), ()
+def _handle_promise_received(
+    event: PromiseReceived, session_state: SessionState
+) -> SessionTransition:
+    return _extend_session(session_state, event.asked_s), ()
 
 
 @apply_session_event.register
-def _handle_promise_request(event: PromiseAsked, guard: SessionState) -> SessionTransition:
-    current = _drop_outdated_commitment(guard, event.holder, event.renewal_number)
+def _handle_promise_request(event: PromiseAsked, session_state: SessionState) -> SessionTransition:
+    current = _drop_outdated_commitment(session_state, event.holder, event.renewal_number)
     committed = any(name == event.holder for name, _ in current.commitments)
     if committed or not event.is_member or not is_session_valid(current, event.now_s):
         return current, (RefusePromise(event.holder),)
@@ -54,41 +58,41 @@
 
 
 @apply_session_event.register
-def _handle_fence_request(event: FenceAsked, guard: SessionState) -> SessionTransition:
-    if guard.fenced or event.now_s < guard.silent_until_s:
-        return guard, ()
-    granted = _list_unexpired(guard, event.now_s)
+def _handle_fence_request(event: FenceAsked, session_state: SessionState) -> SessionTransition:
+    if session_state.fenced or event.now_s < session_state.silent_until_s:
+        return session_state, ()
+    granted = _list_unexpired(session_state, event.now_s)
     if any(name == event.holder for name, _ in granted):
-        return guard, ()
-    commitments = raise_total(guard.commitments, event.holder, event.renewal_number)
-    agreed = replace(guard, granted=granted, commitments=commitments)
+        return session_state, ()
+    commitments = raise_total(session_state.commitments, event.holder, event.renewal_number)
+    agreed = replace(session_state, granted=granted, commitments=commitments)
     return agreed, (AgreeToFence(event.holder, event.renewal_number),)
 
 
 @apply_session_event.register
-def _handle_observed_renewal(event: RenewalSeen, guard: SessionState) -> SessionTransition:
-    return _drop_outdated_commitment(guard, event.holder, event.renewal_number), ()
+def _handle_observed_renewal(event: RenewalSeen, session_state: SessionState) -> SessionTransition:
+    return _drop_outdated_commitment(session_state, event.holder, event.renewal_number), ()
 
 
 @apply_session_event.register
-def _handle_observed_fence(event: FenceSeen, guard: SessionState) -> SessionTransition:
-    return replace(guard, fenced=True), ()
+def _handle_observed_fence(event: FenceSeen, session_state: SessionState) -> SessionTransition:
+    return replace(session_state, fenced=True), ()
 
 
-def _extend_session(guard: SessionState, counted_from_s: float) -> SessionState:
-    until_s = counted_from_s + guard.timing.ttl_s
-    return replace(guard, valid_until_s=max(guard.valid_until_s, until_s))
+def _extend_session(session_state: SessionState, counted_from_s: float) -> SessionState:
+    until_s = counted_from_s + session_state.timing.ttl_s
+    return replace(session_state, valid_until_s=max(session_state.valid_until_s, until_s))
 
 
 def _drop_outdated_commitment(
-    guard: SessionState, holder: str, renewal_number: int
+    session_state: SessionState, holder: str, renewal_number: int
 ) -> SessionState:
     """Drop the agreement to a fence that can no longer succeed because the holder has renewed."""
-    if read_total(guard.commitments, holder) >= renewal_number:
-        return guard
-    remaining = tuple(pair for pair in guard.commitments if pair[0] != holder)
-    return replace(guard, commitments=remaining)
+    if read_total(session_state.commitments, holder) >= renewal_number:
+        return session_state
+    remaining = tuple(pair for pair in session_state.commitments if pair[0] != holder)
+    return replace(session_state, commitments=remaining)
 
 
-def _list_unexpired(guard: SessionState, now_s: float) -> Totals:
-    return tuple(pair for pair in guard.granted if now_s < pair[1])
+def _list_unexpired(session_state: SessionState, now_s: float) -> Totals:
+    return tuple(pair for pair in session_state.granted if now_s < pair[1])
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -40,7 +40,7 @@
         self._ledgers: dict[str, Ledger] = {}
         self._held: dict[str, int] = {}
         self._wake_functions: list[WakeTeam] = []
-        self.guard: SessionState | None = None
+        self.session_state: SessionState | None = None
         self.leaving = False
         self.used: Counter[str] = Counter()
         self.orphaned: Counter[str] = Counter()
@@ -50,7 +50,7 @@
     @property
     def holder(self) -> str:
         """Return the name under which this entry holds units, empty before it has joined."""
-        return self.guard.holder if self.guard else ''
+        return self.session_state.holder if self.session_state else ''
 
     def subscribe(self, wake_team: WakeTeam) -> None:
         """Call the function with a team's name when units of it arrive."""
@@ -62,16 +62,18 @@
             for wake_team in self._wake_functions:
                 wake_team(team)
 
-    def join(self, guard: SessionState) -> None:
+    def join(self, session_state: SessionState) -> None:
         """Start as a new incarnation that holds nothing.
 
         Work that the last incarnation started runs on; its units are reclaimed by time and don't
         count here. What this process promised to others still holds.
         """
-        former = self.guard
-        self.guard = guard
+        former = self.session_state
+        self.session_state = session_state
         if former is not None:
-            self.guard = replace(guard, granted=former.granted, commitments=former.commitments)
+            self.session_state = replace(
+                session_state, granted=former.granted, commitments=former.commitments
+            )
         self.orphaned.update(self.used)
         self.used.clear()
         self._ledgers.clear()
@@ -81,10 +83,10 @@
 
     def apply(self, event: SessionEvent) -> tuple[SessionEffect, ...]:
         """Apply the event to the guard and return the effects; nothing before the join."""
-        if self.guard is None:
+        if self.session_state is None:
             return ()
-        guard, effects = apply_session_event(event, self.guard)
-        self.guard = guard
+        session_state, effects = apply_session_event(event, self.session_state)
+        self.session_state = session_state
         return effects
 
     def note_fence(self) -> None:
@@ -93,23 +95,27 @@
 
     def is_joined(self) -> bool:
         """Return whether this entry is a member that, as far as it knows, is not fenced."""
-        return self.guard is not None and not self.guard.fenced
+        return self.session_state is not None and not self.session_state.fenced
 
     def is_valid(self) -> bool:
         """Return whether work may start and units may be traded."""
-        if self.guard is None or self.leaving:
+        if self.session_state is None or self.leaving:
             return False
-        return is_session_valid(self.guard, self._clock.read_monotonic_s())
+        return is_session_valid(self.session_state, self._clock.read_monotonic_s())
 
     def read_session_left_s(self) -> float:
         """Return the seconds until the session ends, negative without one."""
-        if self.guard is None or self.guard.fenced:
+        if self.session_state is None or self.session_state.fenced:
             return NO_SESSION_S
-        return self.guard.valid_until_s - self._clock.read_monotonic_s()
+        return self.session_state.valid_until_s - self._clock.read_monotonic_s()
 
     def may_trade(self, holder: str) -> bool:
         """Return whether units may be given to the holder or received from it."""
-        return self.guard is not None and self.is_valid() and not is_committed(self.guard, holder)
+        return (
+            self.session_state is not None
+            and self.is_valid()
+            and not is_committed(self.session_state, holder)
+        )
 
     def try_take(self, team: str) -> bool:
         """Use one idle unit of the team if there is one and work may start."""
@@ -168,7 +174,7 @@
 
     def see_portion(self, resource: str) -> bool:
         """Take the newest row of the resource and return whether work may start that could not."""
-        if self.guard is None:
+        if self.session_state is None:
             return False
         team = read_team(resource)
         version, row = self._view.read_portion(resource)
--- a/comfreywind/entry/portions/portion_leaver.py
+++ b/comfreywind/entry/portions/portion_leaver.py
@@ -76,7 +76,7 @@
         log.warning('the store is down; units were given to peers and the row has to be fenced')
 
     async def _wait_for_promises(self) -> None:
-        granted = self._book.guard.granted if self._book.guard else ()
+        granted = self._book.session_state.granted if self._book.session_state else ()
         end_s = max((until_s for _, until_s in granted), default=0)
         await trio.sleep(max(0, end_s - self._clock.read_monotonic_s()))
 
--- a/comfreywind/entry/portions/portion_writer.py
+++ b/comfreywind/entry/portions/portion_writer.py
@@ -273,7 +273,7 @@
         """Keep what the write gives up out of use until its outcome is known."""
         self._unresolved[write.resource] = write
         ledger = self._book.find_ledger(write.resource)
-        if self._book.guard is not None and ledger.row_version == write.version:
+        if self._book.session_state is not None and ledger.row_version == write.version:
             self._book.set_ledger(write.resource, start_write(ledger, write.returning_units))
 
     def _forget(self, first_attempts: list[PlannedWrite]) -> None:
@@ -281,7 +281,7 @@
         for write in first_attempts:
             self._unresolved.pop(write.resource, None)
             ledger = self._book.find_ledger(write.resource)
-            if self._book.guard is not None and ledger.pending_version == write.version:
+            if self._book.session_state is not None and ledger.pending_version == write.version:
                 self._book.set_ledger(write.resource, clear_write(ledger))
 
     async def _refresh(self) -> None:
--- a/comfreywind/entry/portions/promise_exchange.py
+++ b/comfreywind/entry/portions/promise_exchange.py
@@ -46,8 +46,8 @@
 
     def tick(self) -> None:
         """Ask some peers when the session needs it."""
-        guard = self._book.guard
-        if guard is None or guard.fenced or self._book.leaving:
+        session_state = self._book.session_state
+        if session_state is None or session_state.fenced or self._book.leaving:
             return
         if self._book.read_session_left_s() > self._session_ttl_s / 2:
             return
@@ -59,7 +59,7 @@
         }
         number = next(self._numbers)
         self._asked[number] = now_s
-        request = PromiseRequest(guard.holder, guard.renewal_number, number)
+        request = PromiseRequest(session_state.holder, session_state.renewal_number, number)
         peers = self._hub.list_alive()
         for offset in range(min(ASKED_PEERS, len(peers))):
             self._hub.send(peers[(number + offset) % len(peers)].name, request)
--- a/comfreywind/entry/portions/session_keeper.py
+++ b/comfreywind/entry/portions/session_keeper.py
@@ -101,7 +101,7 @@
         if seen is not None:
             known.append(seen.member.incarnation)
         incarnation = self._member.incarnation
-        if self._book.guard is not None:
+        if self._book.session_state is not None:
             incarnation = int(self._clock.read_utc().timestamp() * NANOSECONDS_PER_S)
         return max(incarnation, *(int(number) + 1 for number in known), 1)
 
@@ -158,7 +158,7 @@
 
     def _enter(self, member: MemberRow) -> None:
         silent_s: float = 0
-        if self._book.guard is None:
+        if self._book.session_state is None:
             # An earlier process of this name may have promised something that isn't known here.
             silent_s = self._clock.read_monotonic_s() + self._timing.observed_ttl_s
         holder = make_holder(member.name, member.incarnation)
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -177,27 +177,27 @@
 
 
 def _list_holder_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
-    guard = state.holder
+    session_state = state.holder
     if (
         state.renewal_sent is None
-        and guard.renewal_number < setup.renewals_limit
-        and not guard.fenced
+        and session_state.renewal_number < setup.renewals_limit
+        and not session_state.fenced
     ):
-        renewal_sent = (guard.renewal_number + 1, NOW)
+        renewal_sent = (session_state.renewal_number + 1, NOW)
         yield 'holder sends renewal', state._replace(renewal_sent=renewal_sent)
-    if state.member_fenced and not guard.fenced:
-        yield 'holder sees fence', state._replace(holder=_apply_event(FenceSeen(), guard))
+    if state.member_fenced and not session_state.fenced:
+        yield 'holder sees fence', state._replace(holder=_apply_event(FenceSeen(), session_state))
     if state.renewal_sent and state.renewal_sent[0] == state.member_renewal:
         confirmed = RenewalConfirmed(state.renewal_sent[1], state.renewal_sent[0])
         yield (
             'holder gets reply or reads the row',
-            state._replace(holder=_apply_event(confirmed, guard), renewal_sent=None),
+            state._replace(holder=_apply_event(confirmed, session_state), renewal_sent=None),
         )
     if state.grant_requested_s is not None:
         received = PromiseReceived(state.grant_requested_s)
         yield (
             'holder gets promise',
-            state._replace(holder=_apply_event(received, guard), grant_requested_s=None),
+            state._replace(holder=_apply_event(received, session_state), grant_requested_s=None),
         )
     yield from _list_work_steps(state)
 
@@ -241,21 +241,22 @@
         if setup.removed is Removed.JOINER_READ:
             is_member = True
         asked = PromiseAsked(HOLDER, state.holder.renewal_number, NOW, is_member)
-        guard, effects = apply_session_event(asked, state.peer)
+        session_state, effects = apply_session_event(asked, state.peer)
         if effects == (GrantPromise(HOLDER),):
-            yield 'peer grants promise', state._replace(peer=guard, grant_requested_s=NOW)
+            yield 'peer grants promise', state._replace(peer=session_state, grant_requested_s=NOW)
     seen = RenewalSeen(HOLDER, state.member_renewal)
     if _apply_event(seen, state.peer) != state.peer:
         yield 'peer sees renewal', state._replace(peer=_apply_event(seen, state.peer))
     query = FenceAsked(HOLDER, state.fence_attempt.renewal_number, NOW)
-    guard, effects = apply_session_event(query, state.peer)
+    session_state, effects = apply_session_event(query, state.peer)
     if not effects or state.member_fenced:
         return
-    yield 'peer agrees, its reply is lost', state._replace(peer=guard)
+    yield 'peer agrees, its reply is lost', state._replace(peer=session_state)
     yield (
         'peer agrees',
         state._replace(
-            peer=guard, fence_attempt=_add_member_agreement(state.fence_attempt, guard.holder)
+            peer=session_state,
+            fence_attempt=_add_member_agreement(state.fence_attempt, session_state.holder),
         ),
     )
 
@@ -288,19 +289,23 @@
 
 def _list_fencer_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
     query = FenceAsked(HOLDER, state.fence_attempt.renewal_number, NOW)
-    guard, effects = apply_session_event(query, state.fencer)
+    session_state, effects = apply_session_event(query, state.fencer)
     if effects and not state.member_fenced:
         yield (
             'fencer agrees',
             state._replace(
-                fencer=guard, fence_attempt=_add_member_agreement(state.fence_attempt, FENCER)
+                fencer=session_state,
+                fence_attempt=_add_member_agreement(state.fence_attempt, FENCER),
             ),
         )
     if state.holder_alive and state.holder_awake:
         asked = PromiseAsked(HOLDER, state.holder.renewal_number, NOW, not state.member_fenced)
-        guard, grants = apply_session_event(asked, state.fencer)
+        session_state, grants = apply_session_event(asked, state.fencer)
         if grants == (GrantPromise(HOLDER),):
-            yield 'fencer grants promise', state._replace(fencer=guard, grant_requested_s=NOW)
+            yield (
+                'fencer grants promise',
+                state._replace(fencer=session_state, grant_requested_s=NOW),
+            )
     if state.member_renewal != state.fence_attempt.renewal_number and not state.member_fenced:
         seen = RenewalSeen(HOLDER, state.member_renewal)
         yield (
@@ -384,17 +389,21 @@
     return None if time_s is None else max(int(time_s) - 1, lowest_s)
 
 
-def _age_guard(guard: SessionState) -> SessionState:
-    granted = tuple((name, until - 1) for name, until in guard.granted if until - 1 > NOW)
-    until_s = guard.valid_until_s
+def _age_guard(session_state: SessionState) -> SessionState:
+    granted = tuple((name, until - 1) for name, until in session_state.granted if until - 1 > NOW)
+    until_s = session_state.valid_until_s
     if until_s < ALWAYS:
         until_s = max(until_s - 1, NOW - 1)
-    silent_until_s = max(guard.silent_until_s - 1, 0 if guard.silent_until_s == 0 else NOW)
-    return replace(guard, valid_until_s=until_s, granted=granted, silent_until_s=silent_until_s)
+    silent_until_s = max(
+        session_state.silent_until_s - 1, 0 if session_state.silent_until_s == 0 else NOW
+    )
+    return replace(
+        session_state, valid_until_s=until_s, granted=granted, silent_until_s=silent_until_s
+    )
 
 
-def _apply_event(event: SessionEvent, guard: SessionState) -> SessionState:
-    return apply_session_event(event, guard)[0]
+def _apply_event(event: SessionEvent, session_state: SessionState) -> SessionState:
+    return apply_session_event(event, session_state)[0]
 
 
 def _add_member_agreement(fence_attempt: FenceCase, member: str) -> FenceCase:
