--- a/comfreywind/decisions/portions/session_events.py
+++ b/comfreywind/decisions/portions/session_events.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromiseAsked(SessionEvent):
+class PromiseRequested(SessionEvent):
     """A holder requests a promise.
 
     `renewal_number` is its highest renewal that the store has confirmed. `is_member` is True if the
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -14,7 +14,7 @@
     FenceAsked,
     FenceSeen,
     SessionEvent,
-    PromiseAsked,
+    PromiseRequested,
     PromiseReceived,
     RenewalConfirmed,
     RenewalSeen,
@@ -47,7 +47,9 @@
 
 
 @apply_session_event.register
-def _handle_promise_request(event: PromiseAsked, session_state: SessionState) -> SessionTransition:
+def _handle_promise_request(
+    event: PromiseRequested, session_state: SessionState
+) -> SessionTransition:
     current = _drop_outdated_commitment(session_state, event.holder, event.renewal_number)
     committed = any(name == event.holder for name, _ in current.commitments)
     if committed or not event.is_member or not is_session_valid(current, event.now_s):
--- a/comfreywind/entry/portions/promise_exchange.py
+++ b/comfreywind/entry/portions/promise_exchange.py
@@ -5,7 +5,7 @@
 
 from comfreywind.clock import Clock
 from comfreywind.decisions.portions.session_effects import GrantPromise
-from comfreywind.decisions.portions.session_events import PromiseAsked, PromiseReceived
+from comfreywind.decisions.portions.session_events import PromiseRequested, PromiseReceived
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_view import PortionView
 from comfreywind.peers.messages.promise_grant import PromiseGrant
@@ -67,7 +67,7 @@
     def _receive_request(self, sender: PeerIdentity, request: PromiseRequest) -> None:
         if self._book.leaving:
             return
-        asked = PromiseAsked(
+        asked = PromiseRequested(
             request.holder,
             request.renewal_number,
             self._clock.read_monotonic_s(),
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -4,7 +4,7 @@
 
 from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.session_effects import GrantPromise, RefusePromise
-from comfreywind.decisions.portions.session_events import FenceAsked, PromiseAsked, RenewalSeen
+from comfreywind.decisions.portions.session_events import FenceAsked, PromiseRequested, RenewalSeen
 from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import is_blocked
@@ -91,13 +91,13 @@
 
 def test_agreement_and_promise_exclude_each_other() -> None:
     """A member must not agree to fence a holder while its promise lets the holder work."""
-    asked = PromiseAsked('h@1', renewal_number=7, now_s=10, is_member=True)
+    asked = PromiseRequested('h@1', renewal_number=7, now_s=10, is_member=True)
     promised, effects = apply_session_event(asked, GUARD)
     assert effects == (GrantPromise('h@1'),)
     assert apply_session_event(FenceAsked('h@1', 7, 14), promised) == (promised, ())
     agreed, effects = apply_session_event(FenceAsked('h@1', 7, 14.05), promised)
     assert effects
-    later = PromiseAsked('h@1', renewal_number=7, now_s=15, is_member=True)
+    later = PromiseRequested('h@1', renewal_number=7, now_s=15, is_member=True)
     assert apply_session_event(later, agreed)[1] == (RefusePromise('h@1'),)
     renewed = apply_session_event(RenewalSeen('h@1', 8), agreed)[0]
     assert apply_session_event(later, renewed)[1] == (GrantPromise('h@1'),)
@@ -106,5 +106,5 @@
 @pytest.mark.parametrize(('now_s', 'is_member'), [(100, True), (50, False)])
 def test_promises_refused(now_s: float, is_member: bool) -> None:
     """No promise must be given without a valid session, or to a holder that may be fenced."""
-    asked = PromiseAsked('h@1', 7, now_s, is_member)
+    asked = PromiseRequested('h@1', 7, now_s, is_member)
     assert apply_session_event(asked, GUARD)[1] == (RefusePromise('h@1'),)
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -26,7 +26,7 @@
     FenceAsked,
     FenceSeen,
     SessionEvent,
-    PromiseAsked,
+    PromiseRequested,
     PromiseReceived,
     RenewalConfirmed,
     RenewalSeen,
@@ -240,7 +240,7 @@
         is_member = not state.joined or state.joiner_view == 'live'
         if setup.removed is Removed.JOINER_READ:
             is_member = True
-        asked = PromiseAsked(HOLDER, state.holder.renewal_number, NOW, is_member)
+        asked = PromiseRequested(HOLDER, state.holder.renewal_number, NOW, is_member)
         session_state, effects = apply_session_event(asked, state.peer)
         if effects == (GrantPromise(HOLDER),):
             yield 'peer grants promise', state._replace(peer=session_state, grant_requested_s=NOW)
@@ -299,7 +299,7 @@
             ),
         )
     if state.holder_alive and state.holder_awake:
-        asked = PromiseAsked(HOLDER, state.holder.renewal_number, NOW, not state.member_fenced)
+        asked = PromiseRequested(HOLDER, state.holder.renewal_number, NOW, not state.member_fenced)
         session_state, grants = apply_session_event(asked, state.fencer)
         if grants == (GrantPromise(HOLDER),):
             yield (
