--- a/comfreywind/decisions/portions/session_events.py
+++ b/comfreywind/decisions/portions/session_events.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FenceAsked(SessionEvent):
+class FenceRequested(SessionEvent):
     """A member asks this entry to agree to the fence of a holder that stopped at this renewal."""
 
     holder: str
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -11,7 +11,7 @@
     RefusePromise,
 )
 from comfreywind.decisions.portions.session_events import (
-    FenceAsked,
+    FenceRequested,
     FenceSeen,
     SessionEvent,
     PromiseRequested,
@@ -60,7 +60,7 @@
 
 
 @apply_session_event.register
-def _handle_fence_request(event: FenceAsked, session_state: SessionState) -> SessionTransition:
+def _handle_fence_request(event: FenceRequested, session_state: SessionState) -> SessionTransition:
     if session_state.fenced or event.now_s < session_state.silent_until_s:
         return session_state, ()
     granted = _list_unexpired(session_state, event.now_s)
--- a/comfreywind/entry/portions/fence_keeper.py
+++ b/comfreywind/entry/portions/fence_keeper.py
@@ -12,7 +12,7 @@
     list_missing,
 )
 from comfreywind.decisions.portions.session_effects import AgreeToFence
-from comfreywind.decisions.portions.session_events import FenceAsked, RenewalSeen
+from comfreywind.decisions.portions.session_events import FenceRequested, RenewalSeen
 from comfreywind.decisions.portions.session_timing import SessionTiming
 from comfreywind.entry.portions.failure_detector import FailureDetector
 from comfreywind.entry.portions.member_row import encode_member_row
@@ -124,7 +124,7 @@
         """Agree as a member; a process that has not joined has promised nothing."""
         case = self._cases[holder]
         now_s = self._clock.read_monotonic_s()
-        effects = self._book.apply(FenceAsked(holder, case.renewal_number, now_s))
+        effects = self._book.apply(FenceRequested(holder, case.renewal_number, now_s))
         if effects:
             agreement = (self._book.holder, self._book.list_flows_with(holder))
             self._cases[holder] = add_agreement(case, case.renewal_number, agreement)
@@ -183,7 +183,7 @@
         if self._book.leaving or query.holder == self._book.holder:
             return
         now_s = self._clock.read_monotonic_s()
-        effects = self._book.apply(FenceAsked(query.holder, query.renewal_number, now_s))
+        effects = self._book.apply(FenceRequested(query.holder, query.renewal_number, now_s))
         if effects != (AgreeToFence(query.holder, query.renewal_number),):
             return
         flows = tuple(
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -4,7 +4,11 @@
 
 from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.session_effects import GrantPromise, RefusePromise
-from comfreywind.decisions.portions.session_events import FenceAsked, PromiseRequested, RenewalSeen
+from comfreywind.decisions.portions.session_events import (
+    FenceRequested,
+    PromiseRequested,
+    RenewalSeen,
+)
 from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import is_blocked
@@ -94,8 +98,8 @@
     asked = PromiseRequested('h@1', renewal_number=7, now_s=10, is_member=True)
     promised, effects = apply_session_event(asked, GUARD)
     assert effects == (GrantPromise('h@1'),)
-    assert apply_session_event(FenceAsked('h@1', 7, 14), promised) == (promised, ())
-    agreed, effects = apply_session_event(FenceAsked('h@1', 7, 14.05), promised)
+    assert apply_session_event(FenceRequested('h@1', 7, 14), promised) == (promised, ())
+    agreed, effects = apply_session_event(FenceRequested('h@1', 7, 14.05), promised)
     assert effects
     later = PromiseRequested('h@1', renewal_number=7, now_s=15, is_member=True)
     assert apply_session_event(later, agreed)[1] == (RefusePromise('h@1'),)
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -23,7 +23,7 @@
 from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
 from comfreywind.decisions.portions.session_effects import AgreeToFence, GrantPromise
 from comfreywind.decisions.portions.session_events import (
-    FenceAsked,
+    FenceRequested,
     FenceSeen,
     SessionEvent,
     PromiseRequested,
@@ -247,7 +247,7 @@
     seen = RenewalSeen(HOLDER, state.member_renewal)
     if _apply_event(seen, state.peer) != state.peer:
         yield 'peer sees renewal', state._replace(peer=_apply_event(seen, state.peer))
-    query = FenceAsked(HOLDER, state.fence_attempt.renewal_number, NOW)
+    query = FenceRequested(HOLDER, state.fence_attempt.renewal_number, NOW)
     session_state, effects = apply_session_event(query, state.peer)
     if not effects or state.member_fenced:
         return
@@ -288,7 +288,7 @@
 
 
 def _list_fencer_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
-    query = FenceAsked(HOLDER, state.fence_attempt.renewal_number, NOW)
+    query = FenceRequested(HOLDER, state.fence_attempt.renewal_number, NOW)
     session_state, effects = apply_session_event(query, state.fencer)
     if effects and not state.member_fenced:
         yield (
