--- a/comfreywind/decisions/portions/session_events.py
+++ b/comfreywind/decisions/portions/session_events.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RenewalSeen(SessionEvent):
+class RenewalObserved(SessionEvent):
     """This entry has read a renewal of another holder from the store."""
 
     holder: str
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -17,7 +17,7 @@
     PromiseRequested,
     PromiseReceived,
     RenewalConfirmed,
-    RenewalSeen,
+    RenewalObserved,
 )
 from comfreywind.decisions.portions.totals import Totals, raise_total, read_total
 
@@ -72,7 +72,9 @@
 
 
 @apply_session_event.register
-def _handle_observed_renewal(event: RenewalSeen, session_state: SessionState) -> SessionTransition:
+def _handle_observed_renewal(
+    event: RenewalObserved, session_state: SessionState
+) -> SessionTransition:
     return _drop_outdated_commitment(session_state, event.holder, event.renewal_number), ()
 
 
--- a/comfreywind/entry/portions/fence_keeper.py
+++ b/comfreywind/entry/portions/fence_keeper.py
@@ -12,7 +12,7 @@
     list_missing,
 )
 from comfreywind.decisions.portions.session_effects import AgreeToFence
-from comfreywind.decisions.portions.session_events import FenceRequested, RenewalSeen
+from comfreywind.decisions.portions.session_events import FenceRequested, RenewalObserved
 from comfreywind.decisions.portions.session_timing import SessionTiming
 from comfreywind.entry.portions.failure_detector import FailureDetector
 from comfreywind.entry.portions.member_row import encode_member_row
@@ -202,6 +202,6 @@
 
     def _see_renewals(self) -> None:
         for seen in self._view.list_live():
-            self._book.apply(RenewalSeen(seen.member.holder, seen.member.renewal_number))
+            self._book.apply(RenewalObserved(seen.member.holder, seen.member.renewal_number))
         live = {seen.member.holder for seen in self._view.list_live()}
         self._cases = {holder: case for holder, case in self._cases.items() if holder in live}
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -7,7 +7,7 @@
 from comfreywind.decisions.portions.session_events import (
     FenceRequested,
     PromiseRequested,
-    RenewalSeen,
+    RenewalObserved,
 )
 from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.ledger import Ledger
@@ -103,7 +103,7 @@
     assert effects
     later = PromiseRequested('h@1', renewal_number=7, now_s=15, is_member=True)
     assert apply_session_event(later, agreed)[1] == (RefusePromise('h@1'),)
-    renewed = apply_session_event(RenewalSeen('h@1', 8), agreed)[0]
+    renewed = apply_session_event(RenewalObserved('h@1', 8), agreed)[0]
     assert apply_session_event(later, renewed)[1] == (GrantPromise('h@1'),)
 
 
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -29,7 +29,7 @@
     PromiseRequested,
     PromiseReceived,
     RenewalConfirmed,
-    RenewalSeen,
+    RenewalObserved,
 )
 from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.portion_row import PortionRow
@@ -244,7 +244,7 @@
         session_state, effects = apply_session_event(asked, state.peer)
         if effects == (GrantPromise(HOLDER),):
             yield 'peer grants promise', state._replace(peer=session_state, grant_requested_s=NOW)
-    seen = RenewalSeen(HOLDER, state.member_renewal)
+    seen = RenewalObserved(HOLDER, state.member_renewal)
     if _apply_event(seen, state.peer) != state.peer:
         yield 'peer sees renewal', state._replace(peer=_apply_event(seen, state.peer))
     query = FenceRequested(HOLDER, state.fence_attempt.renewal_number, NOW)
@@ -307,7 +307,7 @@
                 state._replace(fencer=session_state, grant_requested_s=NOW),
             )
     if state.member_renewal != state.fence_attempt.renewal_number and not state.member_fenced:
-        seen = RenewalSeen(HOLDER, state.member_renewal)
+        seen = RenewalObserved(HOLDER, state.member_renewal)
         yield (
             'fencer sees renewal',
             state._replace(
