--- a/comfreywind/decisions/portions/session_events.py
+++ b/comfreywind/decisions/portions/session_events.py
@@ -57,5 +57,5 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FenceSeen(SessionEvent):
+class FenceObserved(SessionEvent):
     """This entry has read from the store that its own incarnation was fenced."""
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -12,7 +12,7 @@
 )
 from comfreywind.decisions.portions.session_events import (
     FenceRequested,
-    FenceSeen,
+    FenceObserved,
     SessionEvent,
     PromiseRequested,
     PromiseReceived,
@@ -79,7 +79,7 @@
 
 
 @apply_session_event.register
-def _handle_observed_fence(event: FenceSeen, session_state: SessionState) -> SessionTransition:
+def _handle_observed_fence(event: FenceObserved, session_state: SessionState) -> SessionTransition:
     return replace(session_state, fenced=True), ()
 
 
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -11,7 +11,7 @@
     is_session_valid,
 )
 from comfreywind.decisions.portions.session_effects import SessionEffect
-from comfreywind.decisions.portions.session_events import FenceSeen, SessionEvent
+from comfreywind.decisions.portions.session_events import FenceObserved, SessionEvent
 from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import (
@@ -91,7 +91,7 @@
 
     def note_fence(self) -> None:
         """End the session of this incarnation for good."""
-        self.apply(FenceSeen())
+        self.apply(FenceObserved())
 
     def is_joined(self) -> bool:
         """Return whether this entry is a member that, as far as it knows, is not fenced."""
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -24,7 +24,7 @@
 from comfreywind.decisions.portions.session_effects import AgreeToFence, GrantPromise
 from comfreywind.decisions.portions.session_events import (
     FenceRequested,
-    FenceSeen,
+    FenceObserved,
     SessionEvent,
     PromiseRequested,
     PromiseReceived,
@@ -186,7 +186,10 @@
         renewal_sent = (session_state.renewal_number + 1, NOW)
         yield 'holder sends renewal', state._replace(renewal_sent=renewal_sent)
     if state.member_fenced and not session_state.fenced:
-        yield 'holder sees fence', state._replace(holder=_apply_event(FenceSeen(), session_state))
+        yield (
+            'holder sees fence',
+            state._replace(holder=_apply_event(FenceObserved(), session_state)),
+        )
     if state.renewal_sent and state.renewal_sent[0] == state.member_renewal:
         confirmed = RenewalConfirmed(state.renewal_sent[1], state.renewal_sent[0])
         yield (
