--- a/comfreywind/decisions/portions/session_events.py
+++ b/comfreywind/decisions/portions/session_events.py
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseReceived(SessionEvent):
-    """A member granted the promise that this entry requested at `asked_s`."""
+    """A member granted the promise that this entry requested at `requested_s`."""
 
-    asked_s: float
+    requested_s: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -43,7 +43,7 @@
 def _handle_promise_received(
     event: PromiseReceived, session_state: SessionState
 ) -> SessionTransition:
-    return _extend_session(session_state, event.asked_s), ()
+    return _extend_session(session_state, event.requested_s), ()
 
 
 @apply_session_event.register
