--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -14,7 +14,7 @@
 
 from minicheck import Protocol
 
-from comfreywind.decisions.portions.fence_case import (
+from comfreywind.decisions.portions.fence_attempt import (
     FenceCase,
     add_agreement,
     is_expired,
