--- a/comfreywind/decisions/portions/fence_attempt.py
+++ b/comfreywind/decisions/portions/fence_attempt.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FenceCase:
+class FenceAttempt:
     """The state of an attempt to fence a holder.
 
     `first_seen_s` is the monotonic time at which this entry first saw `renewal_number`.
@@ -23,12 +23,12 @@
     agreements: tuple[Agreement, ...] = ()
 
 
-def is_expired(case: FenceCase, timing: SessionTiming, now_s: float) -> bool:
+def is_expired(case: FenceAttempt, timing: SessionTiming, now_s: float) -> bool:
     """Return whether the session that began with the renewal has certainly ended."""
     return now_s >= case.first_seen_s + timing.observed_ttl_s
 
 
-def add_agreement(case: FenceCase, renewal_number: int, agreement: Agreement) -> FenceCase:
+def add_agreement(case: FenceAttempt, renewal_number: int, agreement: Agreement) -> FenceAttempt:
     """Return the attempt with the agreement; one for another renewal number is ignored."""
     if renewal_number != case.renewal_number:
         return case
@@ -36,12 +36,12 @@
     return replace(case, agreements=tuple(sorted([*others, agreement])))
 
 
-def list_missing(case: FenceCase, members: frozenset[str]) -> frozenset[str]:
+def list_missing(case: FenceAttempt, members: frozenset[str]) -> frozenset[str]:
     """Return the members that have not agreed yet."""
     return members - {case.holder} - {name for name, _ in case.agreements}
 
 
-def collect_flows(case: FenceCase) -> dict[str, Totals]:
+def collect_flows(case: FenceAttempt) -> dict[str, Totals]:
     """Return the flows to and from the holder that the members reported, by resource."""
     flows: dict[str, Totals] = {}
     for _, resources in case.agreements:
--- a/comfreywind/entry/portions/fence_keeper.py
+++ b/comfreywind/entry/portions/fence_keeper.py
@@ -5,7 +5,7 @@
 
 from comfreywind.clock import Clock
 from comfreywind.decisions.portions.fence_attempt import (
-    FenceCase,
+    FenceAttempt,
     add_agreement,
     collect_flows,
     is_expired,
@@ -59,7 +59,7 @@
         self._clock = clock
         self._timing = SessionTiming(timings.session_ttl_s, timings.clock_drift_ratio)
         self._decisions = decisions
-        self._cases: dict[str, FenceCase] = {}
+        self._cases: dict[str, FenceAttempt] = {}
         self.failure_detector = FailureDetector(hub, view, clock)
         hub.subscribe(FenceQuery, self._receive_query)
         hub.subscribe(FenceReply, self._receive_reply)
@@ -97,13 +97,13 @@
             return 0
         return read_rank(self._own_name, self._hub)
 
-    def _find_case(self, seen: SeenMember) -> FenceCase:
+    def _find_case(self, seen: SeenMember) -> FenceAttempt:
         holder = seen.member.holder
         known = self._cases.get(holder)
         agreements = known.agreements if known else ()
         if known is not None and known.renewal_number != seen.member.renewal_number:
             agreements = ()
-        case = FenceCase(holder, seen.member.renewal_number, seen.since_s, agreements)
+        case = FenceAttempt(holder, seen.member.renewal_number, seen.since_s, agreements)
         self._cases[holder] = case
         return case
 
@@ -147,7 +147,7 @@
         dead_s = self.failure_detector.read_dead_since_s(seen.member)
         return dead_s is not None and dead_s <= oldest_s
 
-    async def _commit(self, seen: SeenMember, case: FenceCase) -> None:
+    async def _commit(self, seen: SeenMember, case: FenceAttempt) -> None:
         fenced = replace(seen.member, fenced=True, fenced_flows=collect_flows(case))
         writes = [
             RowWrite(TABLE_MEMBERS, fenced.name, seen.version, encode_member_row(fenced)),
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -15,7 +15,7 @@
 from minicheck import Protocol
 
 from comfreywind.decisions.portions.fence_attempt import (
-    FenceCase,
+    FenceAttempt,
     add_agreement,
     is_expired,
     list_missing,
@@ -96,7 +96,7 @@
     member_renewal: int = 1
     member_fenced: bool = False
     row: PortionRow = PortionRow(1, 1, recorded=((HOLDER, 1),))
-    fence_attempt: FenceCase = FenceCase(HOLDER, 1, NOW)
+    fence_attempt: FenceAttempt = FenceAttempt(HOLDER, 1, NOW)
     dead_seen_s: int | None = None
     joined: bool = False
     joiner_view: str = ''
@@ -285,7 +285,7 @@
 def _clear_fence_attempt(state: FenceState) -> FenceState:
     """Clear the fields that have no effect after the fence, to reduce the number of states."""
     timing = state.fencer.timing
-    fence_attempt = FenceCase(HOLDER, 0, NOW - int(timing.ttl_s))
+    fence_attempt = FenceAttempt(HOLDER, 0, NOW - int(timing.ttl_s))
     fencer = SessionState(FENCER, timing, silent_until_s=0, valid_until_s=ALWAYS)
     return state._replace(fence_attempt=fence_attempt, fencer=fencer, dead_seen_s=None)
 
@@ -315,7 +315,7 @@
             'fencer sees renewal',
             state._replace(
                 fencer=_apply_event(seen, state.fencer),
-                fence_attempt=FenceCase(HOLDER, state.member_renewal, NOW),
+                fence_attempt=FenceAttempt(HOLDER, state.member_renewal, NOW),
             ),
         )
     elif _may_fence(state, setup):
@@ -409,6 +409,6 @@
     return apply_session_event(event, session_state)[0]
 
 
-def _add_member_agreement(fence_attempt: FenceCase, member: str) -> FenceCase:
+def _add_member_agreement(fence_attempt: FenceAttempt, member: str) -> FenceAttempt:
     agreement = AgreeToFence(HOLDER, fence_attempt.renewal_number)
     return add_agreement(fence_attempt, agreement.renewal_number, (member, ()))
