--- a/comfreywind/decisions/portions/fence_attempt.py
+++ b/comfreywind/decisions/portions/fence_attempt.py
@@ -36,7 +36,7 @@
     return replace(case, agreements=tuple(sorted([*others, agreement])))
 
 
-def list_missing(case: FenceAttempt, members: frozenset[str]) -> frozenset[str]:
+def list_missing_members(case: FenceAttempt, members: frozenset[str]) -> frozenset[str]:
     """Return the members that have not agreed yet."""
     return members - {case.holder} - {name for name, _ in case.agreements}
 
--- a/comfreywind/entry/portions/fence_keeper.py
+++ b/comfreywind/entry/portions/fence_keeper.py
@@ -9,7 +9,7 @@
     add_agreement,
     collect_flows,
     is_expired,
-    list_missing,
+    list_missing_members,
 )
 from comfreywind.decisions.portions.session_effects import AgreeToFence
 from comfreywind.decisions.portions.session_events import FenceRequested, RenewalObserved
@@ -111,7 +111,7 @@
         holder = seen.member.holder
         self._agree_myself(holder)
         case = self._cases[holder]
-        missing = list_missing(case, self._list_needed())
+        missing = list_missing_members(case, self._list_needed())
         if not missing:
             await self._commit(seen, case)
             return
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -18,7 +18,7 @@
     FenceAttempt,
     add_agreement,
     is_expired,
-    list_missing,
+    list_missing_members,
 )
 from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
 from comfreywind.decisions.portions.session_effects import AgreeToFence, GrantPromise
@@ -342,7 +342,7 @@
         waited = NOW >= state.dead_seen_s + state.fencer.timing.observed_ttl_s
         if waited or setup.removed is Removed.EXCUSE_WAIT:
             members.discard(PEER)
-    return not list_missing(state.fence_attempt, frozenset(members))
+    return not list_missing_members(state.fence_attempt, frozenset(members))
 
 
 def _list_reclaim_steps(state: FenceState, setup: Setup) -> Iterator[Step]:
