--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -37,7 +37,7 @@
     return row.free_units < 0
 
 
-def see_row(ledger: Ledger, row: PortionRow, version: int) -> Ledger:
+def apply_row(ledger: Ledger, row: PortionRow, version: int) -> Ledger:
     """Return the ledger with the row, unless a newer one is known.
 
     Flows with settled holders are dropped from the ledger, because the row includes them.
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -18,7 +18,7 @@
     count_held_units,
     is_blocked,
     list_flows_with,
-    see_row,
+    apply_row,
 )
 from comfreywind.decisions.portions.totals import Totals, sum_totals
 from comfreywind.entry.portions.portion_codec import make_resource, read_team
@@ -165,7 +165,7 @@
         if ledger is not None:
             return ledger
         version, row = self._view.read_portion(resource)
-        return see_row(Ledger(self.holder), row, version)
+        return apply_row(Ledger(self.holder), row, version)
 
     def set_ledger(self, resource: str, ledger: Ledger) -> None:
         """Keep a changed ledger."""
@@ -181,7 +181,7 @@
         ledger = self.find_ledger(resource)
         held_before = self._held.get(team, 0)
         blocked_before = self.is_blocked(team)
-        self.set_ledger(resource, see_row(ledger, row, version))
+        self.set_ledger(resource, apply_row(ledger, row, version))
         unblocked = blocked_before and not self.is_blocked(team)
         return unblocked or self._held[team] > held_before
 
--- a/tests/model/transfer_model.py
+++ b/tests/model/transfer_model.py
@@ -23,7 +23,7 @@
     list_flows_with,
     receive_units,
     record_flows,
-    see_row,
+    apply_row,
     start_write,
 )
 from comfreywind.decisions.portions.portion_row import PortionRow
@@ -142,7 +142,7 @@
     elif entry.agreed_flows is None:
         yield 'extends its session', entry._replace(valid=True)
     if ledger.row_version != state.version:
-        seen = see_row(ledger, state.row, state.version)
+        seen = apply_row(ledger, state.row, state.version)
         yield 'sees the row', entry._replace(ledger=seen)
     if entry.valid:
         yield from _list_writes(entry)
