--- a/comfreywind/decisions/portions/fence_attempt.py
+++ b/comfreywind/decisions/portions/fence_attempt.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, replace
 
 from comfreywind.decisions.portions.session_timing import SessionTiming
-from comfreywind.decisions.portions.totals import Totals
+from comfreywind.decisions.portions.number_map import Totals
 
 Agreement = tuple[str, tuple[tuple[str, Totals], ...]]
 
--- a/comfreywind/decisions/portions/holder_name.py
+++ b/comfreywind/decisions/portions/holder_name.py
@@ -1,6 +1,6 @@
 """Names of holders (incarnations of entries, `name@incarnation`) and of flows between them."""
 
-from comfreywind.decisions.portions.totals import Totals, read_total
+from comfreywind.decisions.portions.number_map import Totals, read_total
 
 FLOW_SEPARATOR = '>'
 
--- a/comfreywind/decisions/portions/ledger.py
+++ b/comfreywind/decisions/portions/ledger.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from comfreywind.decisions.portions.portion_row import PortionRow
-from comfreywind.decisions.portions.totals import Totals
+from comfreywind.decisions.portions.number_map import Totals
 
 
 @dataclass(frozen=True, slots=True)
--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import record_flow
-from comfreywind.decisions.portions.totals import Totals, add_total, raise_total, read_total
+from comfreywind.decisions.portions.number_map import Totals, add_total, raise_total, read_total
 
 
 def count_held_units(ledger: Ledger) -> int:
--- a/comfreywind/decisions/portions/portion_row.py
+++ b/comfreywind/decisions/portions/portion_row.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.totals import Totals, sum_totals
+from comfreywind.decisions.portions.number_map import Totals, sum_totals
 
 
 @dataclass(frozen=True, slots=True)
--- a/comfreywind/decisions/portions/row_changes.py
+++ b/comfreywind/decisions/portions/row_changes.py
@@ -5,7 +5,7 @@
 from comfreywind.decisions.portions.holder_name import is_settled, split_flow, split_holder
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.totals import Totals, add_total, raise_total, read_total
+from comfreywind.decisions.portions.number_map import Totals, add_total, raise_total, read_total
 
 
 def record_flow(row: PortionRow, flow: str, total: int) -> PortionRow:
--- a/comfreywind/decisions/portions/session_state.py
+++ b/comfreywind/decisions/portions/session_state.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from comfreywind.decisions.portions.session_timing import SessionTiming
-from comfreywind.decisions.portions.totals import Totals
+from comfreywind.decisions.portions.number_map import Totals
 
 
 @dataclass(frozen=True, slots=True)
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -19,7 +19,7 @@
     RenewalConfirmed,
     RenewalObserved,
 )
-from comfreywind.decisions.portions.totals import Totals, raise_total, read_total
+from comfreywind.decisions.portions.number_map import Totals, raise_total, read_total
 
 SessionTransition = tuple[SessionState, tuple[SessionEffect, ...]]
 
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -20,7 +20,7 @@
     list_flows_with,
     apply_row,
 )
-from comfreywind.decisions.portions.totals import Totals, sum_totals
+from comfreywind.decisions.portions.number_map import Totals, sum_totals
 from comfreywind.entry.portions.portion_codec import make_resource, read_team
 from comfreywind.entry.portions.portion_view import PortionView
 from comfreywind.entry.rules_view import RulesView
--- a/comfreywind/entry/portions/portion_codec.py
+++ b/comfreywind/entry/portions/portion_codec.py
@@ -4,7 +4,7 @@
 
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.totals import Totals
+from comfreywind.decisions.portions.number_map import Totals
 
 RESOURCE_PREFIX = 'team:'
 
--- a/comfreywind/entry/portions/session_keeper.py
+++ b/comfreywind/entry/portions/session_keeper.py
@@ -10,7 +10,7 @@
 from comfreywind.decisions.portions.session_events import RenewalConfirmed
 from comfreywind.decisions.portions.holder_name import make_holder
 from comfreywind.decisions.portions.session_timing import SessionTiming
-from comfreywind.decisions.portions.totals import read_total
+from comfreywind.decisions.portions.number_map import read_total
 from comfreywind.entry.portions.member_row import MemberRow, encode_member_row
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_view import PortionView
--- a/tests/model/transfer_model.py
+++ b/tests/model/transfer_model.py
@@ -34,7 +34,7 @@
     settle_holder,
     take_free_units,
 )
-from comfreywind.decisions.portions.totals import Totals, read_total
+from comfreywind.decisions.portions.number_map import Totals, read_total
 
 NAMES = ('a@1', 'b@1')
 THIRD = 'c@1'
