--- a/comfreywind/decisions/portions/fence_attempt.py
+++ b/comfreywind/decisions/portions/fence_attempt.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, replace
 
 from comfreywind.decisions.portions.session_timing import SessionTiming
-from comfreywind.decisions.portions.number_map import Totals
+from comfreywind.decisions.portions.number_map import NumberMap
 
-Agreement = tuple[str, tuple[tuple[str, Totals], ...]]
+Agreement = tuple[str, tuple[tuple[str, NumberMap], ...]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,9 +41,9 @@
     return members - {case.holder} - {name for name, _ in case.agreements}
 
 
-def collect_flows(case: FenceAttempt) -> dict[str, Totals]:
+def collect_flows(case: FenceAttempt) -> dict[str, NumberMap]:
     """Return the flows to and from the holder that the members reported, by resource."""
-    flows: dict[str, Totals] = {}
+    flows: dict[str, NumberMap] = {}
     for _, resources in case.agreements:
         for resource, totals in resources:
             flows[resource] = tuple(sorted({*flows.get(resource, ()), *totals}))
--- a/comfreywind/decisions/portions/holder_name.py
+++ b/comfreywind/decisions/portions/holder_name.py
@@ -1,6 +1,6 @@
 """Names of holders (incarnations of entries, `name@incarnation`) and of flows between them."""
 
-from comfreywind.decisions.portions.number_map import Totals, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, read_total
 
 FLOW_SEPARATOR = '>'
 
@@ -27,7 +27,7 @@
     return giver, receiver
 
 
-def is_settled(settled: Totals, holder: str) -> bool:
+def is_settled(settled: NumberMap, holder: str) -> bool:
     """Return whether the holder is settled: its units were reclaimed or returned for good.
 
     `settled` maps entry names to the highest settled incarnation, as in a portion row.
--- a/comfreywind/decisions/portions/ledger.py
+++ b/comfreywind/decisions/portions/ledger.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from comfreywind.decisions.portions.portion_row import PortionRow
-from comfreywind.decisions.portions.number_map import Totals
+from comfreywind.decisions.portions.number_map import NumberMap
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +19,7 @@
     holder: str
     row: PortionRow = PortionRow()
     row_version: int = 0
-    given: Totals = ()
-    received: Totals = ()
+    given: NumberMap = ()
+    received: NumberMap = ()
     returning_units: int = 0
     pending_version: int | None = None
--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import record_flow
-from comfreywind.decisions.portions.number_map import Totals, add_total, raise_total, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_total, read_total
 
 
 def count_held_units(ledger: Ledger) -> int:
@@ -86,14 +86,14 @@
     return replace(ledger, returning_units=0, pending_version=None)
 
 
-def list_flows(ledger: Ledger) -> Totals:
+def list_flows(ledger: Ledger) -> NumberMap:
     """Return the total units of all flows from and to this entry."""
     given = [(make_flow(ledger.holder, peer), total) for peer, total in ledger.given]
     received = [(make_flow(peer, ledger.holder), total) for peer, total in ledger.received]
     return tuple(sorted([*given, *received]))
 
 
-def list_flows_with(ledger: Ledger, holder: str) -> Totals:
+def list_flows_with(ledger: Ledger, holder: str) -> NumberMap:
     """Return the flows between this entry and the holder, for the reply to a fence query."""
     return tuple(pair for pair in list_flows(ledger) if holder in split_flow(pair[0]))
 
@@ -111,5 +111,5 @@
     return row
 
 
-def _list_unsettled(totals: Totals, row: PortionRow) -> Totals:
+def _list_unsettled(totals: NumberMap, row: PortionRow) -> NumberMap:
     return tuple(pair for pair in totals if not is_settled(row.settled, pair[0]))
--- a/comfreywind/decisions/portions/number_map.py
+++ b/comfreywind/decisions/portions/number_map.py
@@ -1,10 +1,10 @@
 """Immutable maps from names to numbers, hashable so that the model checker can store them."""
 
 Number = int | float
-Totals = tuple[tuple[str, Number], ...]
+NumberMap = tuple[tuple[str, Number], ...]
 
 
-def read_total(totals: Totals, key: str) -> Number:
+def read_total(totals: NumberMap, key: str) -> Number:
     """Return the number of the key, 0 for a missing key."""
     for name, number in totals:
         if name == key:
@@ -12,7 +12,7 @@
     return 0
 
 
-def set_total(totals: Totals, key: str, number: Number) -> Totals:
+def set_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the number set for the key; 0 removes the key."""
     others = [pair for pair in totals if pair[0] != key]
     if number != 0:
@@ -20,16 +20,16 @@
     return tuple(sorted(others))
 
 
-def raise_total(totals: Totals, key: str, number: Number) -> Totals:
+def raise_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the number of the key raised to at least the given one."""
     return set_total(totals, key, max(number, read_total(totals, key)))
 
 
-def add_total(totals: Totals, key: str, number: Number) -> Totals:
+def add_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the given number added to that of the key."""
     return set_total(totals, key, read_total(totals, key) + number)
 
 
-def sum_totals(totals: Totals) -> int:
+def sum_totals(totals: NumberMap) -> int:
     """Return the sum of all numbers."""
     return int(sum(number for _, number in totals))
--- a/comfreywind/decisions/portions/portion_row.py
+++ b/comfreywind/decisions/portions/portion_row.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.number_map import Totals, sum_totals
+from comfreywind.decisions.portions.number_map import NumberMap, sum_totals
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,10 +18,10 @@
 
     ceiling_units: int = 0
     ceiling_version: int = 0
-    recorded: Totals = ()
-    flows: Totals = ()
+    recorded: NumberMap = ()
+    flows: NumberMap = ()
     reclaiming: tuple[Reclaim, ...] = ()
-    settled: Totals = ()
+    settled: NumberMap = ()
 
     @property
     def allocated_units(self) -> int:
--- a/comfreywind/decisions/portions/row_changes.py
+++ b/comfreywind/decisions/portions/row_changes.py
@@ -5,7 +5,7 @@
 from comfreywind.decisions.portions.holder_name import is_settled, split_flow, split_holder
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.number_map import Totals, add_total, raise_total, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_total, read_total
 
 
 def record_flow(row: PortionRow, flow: str, total: int) -> PortionRow:
@@ -47,7 +47,7 @@
     return replace(row, ceiling_units=ceiling_units, ceiling_version=bundle_version)
 
 
-def settle_holder(row: PortionRow, holder: str, flows: Totals, wait_s: float) -> PortionRow:
+def settle_holder(row: PortionRow, holder: str, flows: NumberMap, wait_s: float) -> PortionRow:
     """Return the row with the flows of a fenced holder recorded and its units being reclaimed.
 
     The units are negative if the holder gave away units that it had received from another lost
--- a/comfreywind/decisions/portions/session_state.py
+++ b/comfreywind/decisions/portions/session_state.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from comfreywind.decisions.portions.session_timing import SessionTiming
-from comfreywind.decisions.portions.number_map import Totals
+from comfreywind.decisions.portions.number_map import NumberMap
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,8 +22,8 @@
     valid_until_s: float = 0
     renewal_number: int = 0
     fenced: bool = False
-    granted: Totals = ()
-    commitments: Totals = ()
+    granted: NumberMap = ()
+    commitments: NumberMap = ()
 
 
 def is_session_valid(session_state: SessionState, now_s: float) -> bool:
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -19,7 +19,7 @@
     RenewalConfirmed,
     RenewalObserved,
 )
-from comfreywind.decisions.portions.number_map import Totals, raise_total, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, raise_total, read_total
 
 SessionTransition = tuple[SessionState, tuple[SessionEffect, ...]]
 
@@ -98,5 +98,5 @@
     return replace(session_state, commitments=remaining)
 
 
-def _list_unexpired(session_state: SessionState, now_s: float) -> Totals:
+def _list_unexpired(session_state: SessionState, now_s: float) -> NumberMap:
     return tuple(pair for pair in session_state.granted if now_s < pair[1])
--- a/comfreywind/entry/portions/member_row.py
+++ b/comfreywind/entry/portions/member_row.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from comfreywind.decisions.portions.holder_name import make_holder
-from comfreywind.decisions.portions.number_map import Totals
+from comfreywind.decisions.portions.number_map import NumberMap
 from comfreywind.entry.portions.portion_codec import decode_totals
 
 
@@ -18,7 +18,7 @@
     data_centre: str
     renewal_number: int
     fenced: bool = False
-    fenced_flows: dict[str, Totals] = field(default_factory=dict)
+    fenced_flows: dict[str, NumberMap] = field(default_factory=dict)
 
     @property
     def holder(self) -> str:
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -20,7 +20,7 @@
     list_flows_with,
     apply_row,
 )
-from comfreywind.decisions.portions.number_map import Totals, sum_totals
+from comfreywind.decisions.portions.number_map import NumberMap, sum_totals
 from comfreywind.entry.portions.portion_codec import make_resource, read_team
 from comfreywind.entry.portions.portion_view import PortionView
 from comfreywind.entry.rules_view import RulesView
@@ -185,7 +185,7 @@
         unblocked = blocked_before and not self.is_blocked(team)
         return unblocked or self._held[team] > held_before
 
-    def list_flows_with(self, holder: str) -> tuple[tuple[str, Totals], ...]:
+    def list_flows_with(self, holder: str) -> tuple[tuple[str, NumberMap], ...]:
         """Return by resource all flows between this entry and the holder."""
         flows = [
             (resource, list_flows_with(ledger, holder))
--- a/comfreywind/entry/portions/portion_codec.py
+++ b/comfreywind/entry/portions/portion_codec.py
@@ -4,7 +4,7 @@
 
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.number_map import Totals
+from comfreywind.decisions.portions.number_map import NumberMap
 
 RESOURCE_PREFIX = 'team:'
 
@@ -43,6 +43,6 @@
     )
 
 
-def decode_totals(document: dict[str, int]) -> Totals:
+def decode_totals(document: dict[str, int]) -> NumberMap:
     """Return the map in the form that the decisions use."""
     return tuple(sorted(document.items()))
--- a/tests/model/transfer_model.py
+++ b/tests/model/transfer_model.py
@@ -34,7 +34,7 @@
     settle_holder,
     take_free_units,
 )
-from comfreywind.decisions.portions.number_map import Totals, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, read_total
 
 NAMES = ('a@1', 'b@1')
 THIRD = 'c@1'
@@ -65,7 +65,7 @@
     fenced: bool = False
     covers_peer: bool = False
     committed: bool = False
-    agreed_flows: Totals | None = None
+    agreed_flows: NumberMap | None = None
     sent_row: PortionRow | None = None
     sent_version: int = 0
 
