--- a/comfreywind/decisions/portions/holder_name.py
+++ b/comfreywind/decisions/portions/holder_name.py
@@ -1,6 +1,6 @@
 """Names of holders (incarnations of entries, `name@incarnation`) and of flows between them."""
 
-from comfreywind.decisions.portions.number_map import NumberMap, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, get_number
 
 FLOW_SEPARATOR = '>'
 
@@ -33,4 +33,4 @@
     `settled` maps entry names to the highest settled incarnation, as in a portion row.
     """
     name, incarnation = split_holder(holder)
-    return read_total(settled, name) >= incarnation
+    return get_number(settled, name) >= incarnation
--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import record_flow
-from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_total, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_total, get_number
 
 
 def count_held_units(ledger: Ledger) -> int:
@@ -17,9 +17,9 @@
     """
     if is_settled(ledger.row.settled, ledger.holder):
         return 0
-    held = read_total(ledger.row.recorded, ledger.holder) - ledger.returning_units
+    held = get_number(ledger.row.recorded, ledger.holder) - ledger.returning_units
     for flow, total in list_flows(ledger):
-        unrecorded = max(0, total - read_total(ledger.row.flows, flow))
+        unrecorded = max(0, total - get_number(ledger.row.flows, flow))
         held += unrecorded if split_flow(flow)[1] == ledger.holder else -unrecorded
     return int(held)
 
--- a/comfreywind/decisions/portions/number_map.py
+++ b/comfreywind/decisions/portions/number_map.py
@@ -4,7 +4,7 @@
 NumberMap = tuple[tuple[str, Number], ...]
 
 
-def read_total(totals: NumberMap, key: str) -> Number:
+def get_number(totals: NumberMap, key: str) -> Number:
     """Return the number of the key, 0 for a missing key."""
     for name, number in totals:
         if name == key:
@@ -22,12 +22,12 @@
 
 def raise_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the number of the key raised to at least the given one."""
-    return set_total(totals, key, max(number, read_total(totals, key)))
+    return set_total(totals, key, max(number, get_number(totals, key)))
 
 
 def add_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the given number added to that of the key."""
-    return set_total(totals, key, read_total(totals, key) + number)
+    return set_total(totals, key, get_number(totals, key) + number)
 
 
 def sum_totals(totals: NumberMap) -> int:
--- a/comfreywind/decisions/portions/row_changes.py
+++ b/comfreywind/decisions/portions/row_changes.py
@@ -5,7 +5,7 @@
 from comfreywind.decisions.portions.holder_name import is_settled, split_flow, split_holder
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_total, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_total, get_number
 
 
 def record_flow(row: PortionRow, flow: str, total: int) -> PortionRow:
@@ -15,7 +15,7 @@
     when the giver was fenced, or its units are reclaimed with those of the giver. In that case the
     receiver had ended before, so the wait for the giver's units covers the work of the receiver.
     """
-    units = total - int(read_total(row.flows, flow))
+    units = total - int(get_number(row.flows, flow))
     giver, receiver = split_flow(flow)
     if units <= 0 or is_settled(row.settled, giver) or is_settled(row.settled, receiver):
         return row
@@ -55,7 +55,7 @@
     """
     for flow, total in flows:
         row = record_flow(row, flow, int(total))
-    units = int(read_total(row.recorded, holder))
+    units = int(get_number(row.recorded, holder))
     name, incarnation = split_holder(holder)
     reclaiming = row.reclaiming
     if units > 0 and wait_s > 0:
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -19,7 +19,7 @@
     RenewalConfirmed,
     RenewalObserved,
 )
-from comfreywind.decisions.portions.number_map import NumberMap, raise_total, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, raise_total, get_number
 
 SessionTransition = tuple[SessionState, tuple[SessionEffect, ...]]
 
@@ -92,7 +92,7 @@
     session_state: SessionState, holder: str, renewal_number: int
 ) -> SessionState:
     """Drop the agreement to a fence that can no longer succeed because the holder has renewed."""
-    if read_total(session_state.commitments, holder) >= renewal_number:
+    if get_number(session_state.commitments, holder) >= renewal_number:
         return session_state
     remaining = tuple(pair for pair in session_state.commitments if pair[0] != holder)
     return replace(session_state, commitments=remaining)
--- a/comfreywind/entry/portions/session_keeper.py
+++ b/comfreywind/entry/portions/session_keeper.py
@@ -10,7 +10,7 @@
 from comfreywind.decisions.portions.session_events import RenewalConfirmed
 from comfreywind.decisions.portions.holder_name import make_holder
 from comfreywind.decisions.portions.session_timing import SessionTiming
-from comfreywind.decisions.portions.number_map import read_total
+from comfreywind.decisions.portions.number_map import get_number
 from comfreywind.entry.portions.member_row import MemberRow, encode_member_row
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_view import PortionView
@@ -96,7 +96,7 @@
     def _choose_incarnation(self) -> int:
         """Return the wall time, but at least one more than any known incarnation of this name."""
         name = self._member.name
-        known = [read_total(row.settled, name) for _, row in self._view.portions.values()]
+        known = [get_number(row.settled, name) for _, row in self._view.portions.values()]
         seen = self._view.members.get(name)
         if seen is not None:
             known.append(seen.member.incarnation)
--- a/comfreywind/entry/portions/unit_exchange.py
+++ b/comfreywind/entry/portions/unit_exchange.py
@@ -3,7 +3,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.portions.holder_name import is_settled, split_holder
 from comfreywind.decisions.portions.ledger_changes import give_units, receive_units
-from comfreywind.decisions.portions.number_map import read_total
+from comfreywind.decisions.portions.number_map import get_number
 from comfreywind.decisions.portions.unit_shares import UnitDemand, decide_transfer
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_codec import make_resource, read_team
@@ -107,7 +107,7 @@
             seen = self._view.members.get(peer.name)
             if seen is None or self._empty_s.get((team, peer.name), 0) > now_s - EMPTY_S:
                 continue
-            recorded_units = read_total(row.recorded, seen.member.holder)
+            recorded_units = get_number(row.recorded, seen.member.holder)
             ranked.append((recorded_units, peer.name))
         return max(ranked)[1] if ranked else None
 
@@ -150,7 +150,7 @@
         if units > 0:
             ledger = give_units(ledger, receiver, units)
             self._book.set_ledger(resource, ledger)
-        self._send_transfer(resource, receiver, int(read_total(ledger.given, receiver)))
+        self._send_transfer(resource, receiver, int(get_number(ledger.given, receiver)))
 
     def _send_transfer(self, resource: str, receiver: str, total_units: int) -> None:
         idle_units = max(0, self._book.count_idle(read_team(resource)))
--- a/tests/model/transfer_model.py
+++ b/tests/model/transfer_model.py
@@ -34,7 +34,7 @@
     settle_holder,
     take_free_units,
 )
-from comfreywind.decisions.portions.number_map import NumberMap, read_total
+from comfreywind.decisions.portions.number_map import NumberMap, get_number
 
 NAMES = ('a@1', 'b@1')
 THIRD = 'c@1'
@@ -101,18 +101,18 @@
             'running work never exceeds the ceiling': lambda state: count_running(state) <= ceiling,
             'no unit is counted twice': lambda state: count_units(state) <= ceiling,
         },
-        goal=lambda state: read_total(state['row'].recorded, THIRD) == ceiling,
+        goal=lambda state: get_number(state['row'].recorded, THIRD) == ceiling,
     )
 
 
 def count_running(state: dict[str, object]) -> int:
     """Return the number of units that running work uses."""
-    return state['a'].used + state['b'].used + int(read_total(state['row'].recorded, THIRD))
+    return state['a'].used + state['b'].used + int(get_number(state['row'].recorded, THIRD))
 
 
 def count_units(state: dict[str, object]) -> int:
     """Return the number of units that some entry may use, now or after they were reclaimed."""
-    units = int(read_total(state['row'].recorded, THIRD))
+    units = int(get_number(state['row'].recorded, THIRD))
     units += sum(reclaim.units for reclaim in state['row'].reclaiming)
     entries = [entry for entry in (state['a'], state['b']) if not entry.fenced]
     return units + sum(max(0, count_held_units(entry.ledger)) for entry in entries)
@@ -154,8 +154,8 @@
 ) -> Iterator[tuple[str, EntryState]]:
     ledger = entry.ledger
     may_trade = removed is Removed.COMMITMENT or not entry.committed
-    total = int(read_total(peer.ledger.given, ledger.holder))
-    if may_trade and total > read_total(ledger.received, peer.ledger.holder):
+    total = int(get_number(peer.ledger.given, ledger.holder))
+    if may_trade and total > get_number(ledger.received, peer.ledger.holder):
         received = receive_units(ledger, peer.ledger.holder, total)
         if received != ledger:
             yield 'receives units', entry._replace(ledger=received)
@@ -165,7 +165,7 @@
     if count_held_units(ledger) <= entry.used:
         return
     yield 'starts work', entry._replace(used=entry.used + 1)
-    if may_trade and read_total(ledger.given, peer.ledger.holder) < trade_limit:
+    if may_trade and get_number(ledger.given, peer.ledger.holder) < trade_limit:
         yield 'gives a unit', entry._replace(ledger=give_units(ledger, peer.ledger.holder, 1))
 
 
