--- a/comfreywind/decisions/portions/number_map.py
+++ b/comfreywind/decisions/portions/number_map.py
@@ -12,7 +12,7 @@
     return 0
 
 
-def set_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
+def set_number(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the number set for the key; 0 removes the key."""
     others = [pair for pair in totals if pair[0] != key]
     if number != 0:
@@ -22,12 +22,12 @@
 
 def raise_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the number of the key raised to at least the given one."""
-    return set_total(totals, key, max(number, get_number(totals, key)))
+    return set_number(totals, key, max(number, get_number(totals, key)))
 
 
 def add_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the given number added to that of the key."""
-    return set_total(totals, key, get_number(totals, key) + number)
+    return set_number(totals, key, get_number(totals, key) + number)
 
 
 def sum_totals(totals: NumberMap) -> int:
