--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import record_flow
-from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_total, get_number
+from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_number, get_number
 
 
 def count_held_units(ledger: Ledger) -> int:
@@ -48,7 +48,7 @@
     for flow, total in row.flows:
         giver, receiver = split_flow(flow)
         if receiver == ledger.holder:
-            received = raise_total(received, giver, total)
+            received = raise_number(received, giver, total)
     seen = replace(
         ledger,
         row=row,
@@ -73,7 +73,7 @@
     """Return the ledger after the giver sent its total; a repeated or older one changes nothing."""
     if is_settled(ledger.row.settled, giver):
         return ledger
-    return replace(ledger, received=raise_total(ledger.received, giver, total))
+    return replace(ledger, received=raise_number(ledger.received, giver, total))
 
 
 def start_write(ledger: Ledger, returning_units: int) -> Ledger:
--- a/comfreywind/decisions/portions/number_map.py
+++ b/comfreywind/decisions/portions/number_map.py
@@ -20,7 +20,7 @@
     return tuple(sorted(others))
 
 
-def raise_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
+def raise_number(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the number of the key raised to at least the given one."""
     return set_number(totals, key, max(number, get_number(totals, key)))
 
--- a/comfreywind/decisions/portions/row_changes.py
+++ b/comfreywind/decisions/portions/row_changes.py
@@ -5,7 +5,7 @@
 from comfreywind.decisions.portions.holder_name import is_settled, split_flow, split_holder
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_total, get_number
+from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_number, get_number
 
 
 def record_flow(row: PortionRow, flow: str, total: int) -> PortionRow:
@@ -20,7 +20,7 @@
     if units <= 0 or is_settled(row.settled, giver) or is_settled(row.settled, receiver):
         return row
     recorded = add_total(add_total(row.recorded, receiver, units), giver, -units)
-    return replace(row, recorded=recorded, flows=raise_total(row.flows, flow, total))
+    return replace(row, recorded=recorded, flows=raise_number(row.flows, flow, total))
 
 
 def take_free_units(row: PortionRow, holder: str, wanted_units: int) -> PortionRow:
@@ -65,7 +65,7 @@
         recorded=tuple(pair for pair in row.recorded if pair[0] != holder),
         flows=tuple(pair for pair in row.flows if holder not in split_flow(pair[0])),
         reclaiming=reclaiming,
-        settled=raise_total(row.settled, name, incarnation),
+        settled=raise_number(row.settled, name, incarnation),
     )
 
 
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -19,7 +19,7 @@
     RenewalConfirmed,
     RenewalObserved,
 )
-from comfreywind.decisions.portions.number_map import NumberMap, raise_total, get_number
+from comfreywind.decisions.portions.number_map import NumberMap, raise_number, get_number
 
 SessionTransition = tuple[SessionState, tuple[SessionEffect, ...]]
 
@@ -55,7 +55,7 @@
     if committed or not event.is_member or not is_session_valid(current, event.now_s):
         return current, (RefusePromise(event.holder),)
     until_s = event.now_s + current.timing.observed_ttl_s
-    granted = raise_total(_list_unexpired(current, event.now_s), event.holder, until_s)
+    granted = raise_number(_list_unexpired(current, event.now_s), event.holder, until_s)
     return replace(current, granted=granted), (GrantPromise(event.holder),)
 
 
@@ -66,7 +66,7 @@
     granted = _list_unexpired(session_state, event.now_s)
     if any(name == event.holder for name, _ in granted):
         return session_state, ()
-    commitments = raise_total(session_state.commitments, event.holder, event.renewal_number)
+    commitments = raise_number(session_state.commitments, event.holder, event.renewal_number)
     agreed = replace(session_state, granted=granted, commitments=commitments)
     return agreed, (AgreeToFence(event.holder, event.renewal_number),)
 
