--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -6,7 +6,12 @@
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import record_flow
-from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_number, get_number
+from comfreywind.decisions.portions.number_map import (
+    NumberMap,
+    add_number,
+    raise_number,
+    get_number,
+)
 
 
 def count_held_units(ledger: Ledger) -> int:
@@ -66,7 +71,7 @@
 
     The caller sends the new total to the receiver until the receiver has confirmed it.
     """
-    return replace(ledger, given=add_total(ledger.given, receiver, units))
+    return replace(ledger, given=add_number(ledger.given, receiver, units))
 
 
 def receive_units(ledger: Ledger, giver: str, total: int) -> Ledger:
--- a/comfreywind/decisions/portions/number_map.py
+++ b/comfreywind/decisions/portions/number_map.py
@@ -25,7 +25,7 @@
     return set_number(totals, key, max(number, get_number(totals, key)))
 
 
-def add_total(totals: NumberMap, key: str, number: Number) -> NumberMap:
+def add_number(totals: NumberMap, key: str, number: Number) -> NumberMap:
     """Return the map with the given number added to that of the key."""
     return set_number(totals, key, get_number(totals, key) + number)
 
--- a/comfreywind/decisions/portions/row_changes.py
+++ b/comfreywind/decisions/portions/row_changes.py
@@ -5,7 +5,12 @@
 from comfreywind.decisions.portions.holder_name import is_settled, split_flow, split_holder
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.number_map import NumberMap, add_total, raise_number, get_number
+from comfreywind.decisions.portions.number_map import (
+    NumberMap,
+    add_number,
+    raise_number,
+    get_number,
+)
 
 
 def record_flow(row: PortionRow, flow: str, total: int) -> PortionRow:
@@ -19,7 +24,7 @@
     giver, receiver = split_flow(flow)
     if units <= 0 or is_settled(row.settled, giver) or is_settled(row.settled, receiver):
         return row
-    recorded = add_total(add_total(row.recorded, receiver, units), giver, -units)
+    recorded = add_number(add_number(row.recorded, receiver, units), giver, -units)
     return replace(row, recorded=recorded, flows=raise_number(row.flows, flow, total))
 
 
@@ -32,12 +37,12 @@
     if row.free_units <= 0 or wanted_units <= 0:
         return row
     units = min(wanted_units, max(1, row.free_units // 2))
-    return replace(row, recorded=add_total(row.recorded, holder, units))
+    return replace(row, recorded=add_number(row.recorded, holder, units))
 
 
 def return_units(row: PortionRow, holder: str, units: int) -> PortionRow:
     """Return the row with some units of the holder free again."""
-    return replace(row, recorded=add_total(row.recorded, holder, -units))
+    return replace(row, recorded=add_number(row.recorded, holder, -units))
 
 
 def set_ceiling(row: PortionRow, ceiling_units: int, bundle_version: int) -> PortionRow:
