--- a/comfreywind/decisions/portions/number_map.py
+++ b/comfreywind/decisions/portions/number_map.py
@@ -30,6 +30,6 @@
     return set_number(totals, key, get_number(totals, key) + number)
 
 
-def sum_totals(totals: NumberMap) -> int:
+def sum_numbers(totals: NumberMap) -> int:
     """Return the sum of all numbers."""
     return int(sum(number for _, number in totals))
--- a/comfreywind/decisions/portions/portion_row.py
+++ b/comfreywind/decisions/portions/portion_row.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from comfreywind.decisions.portions.reclaim import Reclaim
-from comfreywind.decisions.portions.number_map import NumberMap, sum_totals
+from comfreywind.decisions.portions.number_map import NumberMap, sum_numbers
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
     @property
     def allocated_units(self) -> int:
         """Return the units that holders have or that are being reclaimed."""
-        return sum_totals(self.recorded) + sum(reclaim.units for reclaim in self.reclaiming)
+        return sum_numbers(self.recorded) + sum(reclaim.units for reclaim in self.reclaiming)
 
     @property
     def free_units(self) -> int:
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -20,7 +20,7 @@
     list_flows_with,
     apply_row,
 )
-from comfreywind.decisions.portions.number_map import NumberMap, sum_totals
+from comfreywind.decisions.portions.number_map import NumberMap, sum_numbers
 from comfreywind.entry.portions.portion_codec import make_resource, read_team
 from comfreywind.entry.portions.portion_view import PortionView
 from comfreywind.entry.rules_view import RulesView
@@ -196,7 +196,7 @@
     def count_traded(self, resource: str) -> int:
         """Return all units ever given or received, which changes with every transfer."""
         ledger = self._ledgers.get(resource)
-        return sum_totals(ledger.given) + sum_totals(ledger.received) if ledger else 0
+        return sum_numbers(ledger.given) + sum_numbers(ledger.received) if ledger else 0
 
     def list_resources(self) -> list[str]:
         """Return the resources with a ledger."""
