--- a/comfreywind/decisions/portions/row_changes.py
+++ b/comfreywind/decisions/portions/row_changes.py
@@ -28,7 +28,7 @@
     return replace(row, recorded=recorded, flows=raise_number(row.flows, flow, total))
 
 
-def take_free_units(row: PortionRow, holder: str, wanted_units: int) -> PortionRow:
+def allocate_free_units(row: PortionRow, holder: str, wanted_units: int) -> PortionRow:
     """Return the row with free units allocated to the holder.
 
     The holder gets at most half of the free units, but at least one, so that some remain for other
--- a/comfreywind/entry/portions/portion_writer.py
+++ b/comfreywind/entry/portions/portion_writer.py
@@ -17,7 +17,7 @@
     return_units,
     set_ceiling,
     settle_holder,
-    take_free_units,
+    allocate_free_units,
 )
 from comfreywind.entry.portions.member_row import MemberRow
 from comfreywind.entry.portions.portion_book import PortionBook
@@ -241,7 +241,7 @@
         part_units = -(-row.ceiling_units // max(1, len(self._view.list_live())))
         missing_units = part_units - self._book.count_held(team)
         wanted_units = max(missing_units, self._book.count_wanted(team))
-        return take_free_units(row, self._book.holder, wanted_units)
+        return allocate_free_units(row, self._book.holder, wanted_units)
 
     def _has_waited(self, key: tuple[str, str], wait_s: float) -> bool:
         now_s = self._clock.read_monotonic_s()
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -18,7 +18,7 @@
     record_flow,
     set_ceiling,
     settle_holder,
-    take_free_units,
+    allocate_free_units,
 )
 from comfreywind.decisions.portions.session_timing import SessionTiming
 from comfreywind.decisions.portions.unit_shares import UnitDemand, decide_transfer
@@ -50,9 +50,9 @@
 @pytest.mark.parametrize(('wanted', 'taken'), TAKE_CASES)
 def test_takes_half_of_the_free_units(wanted: int, taken: int) -> None:
     """The first entry must not get all free units, and none must get more than it wants."""
-    row = take_free_units(ROW, 'c@1', wanted)
+    row = allocate_free_units(ROW, 'c@1', wanted)
     assert dict(row.recorded)['c@1'] == taken
-    assert take_free_units(row, 'c@1', 0) == row
+    assert allocate_free_units(row, 'c@1', 0) == row
 
 
 def test_recorded_twice() -> None:
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -36,7 +36,7 @@
 from comfreywind.decisions.portions.row_changes import (
     finish_reclaim,
     settle_holder,
-    take_free_units,
+    allocate_free_units,
 )
 from comfreywind.decisions.portions.session_timing import SessionTiming
 
@@ -361,7 +361,7 @@
             row = finish_reclaim(state.row, reclaim)
             yield 'fencer ends reclaim', state._replace(row=row, reclaim_seen_s=None)
     if state.row.free_units > 0:
-        yield 'fencer takes unit', state._replace(row=take_free_units(state.row, FENCER, 1))
+        yield 'fencer takes unit', state._replace(row=allocate_free_units(state.row, FENCER, 1))
     if FENCER in recorded and state.fencer_runs == 0:
         yield 'fencer starts work', state._replace(fencer_runs=MAX_RUN)
 
--- a/tests/model/transfer_model.py
+++ b/tests/model/transfer_model.py
@@ -32,7 +32,7 @@
     mentions_holder,
     return_units,
     settle_holder,
-    take_free_units,
+    allocate_free_units,
 )
 from comfreywind.decisions.portions.number_map import NumberMap, get_number
 
@@ -125,7 +125,10 @@
             yield f'{NAMES[index]} {label}', _replace_entry(state, index, entry)
         yield from _list_shared_steps(state, index, removed)
     if state.row.free_units > 0:
-        yield 'third takes a free unit', _replace_row(state, take_free_units(state.row, THIRD, 1))
+        yield (
+            'third takes a free unit',
+            _replace_row(state, allocate_free_units(state.row, THIRD, 1)),
+        )
 
 
 def _list_own_steps(
@@ -176,7 +179,7 @@
     recorded = record_flows(ledger)
     if recorded != ledger.row:
         yield 'records', _send_write(entry, recorded, 0)
-    taken = take_free_units(recorded, ledger.holder, 1)
+    taken = allocate_free_units(recorded, ledger.holder, 1)
     if taken != recorded and ledger.holder == NAMES[1]:
         yield 'takes', _send_write(entry, taken, 0)
     if count_held_units(ledger) > entry.used and ledger.holder == NAMES[0]:
