--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -86,7 +86,7 @@
     return replace(ledger, returning_units=returning_units, pending_version=ledger.row_version)
 
 
-def clear_write(ledger: Ledger) -> Ledger:
+def clear_pending_write(ledger: Ledger) -> Ledger:
     """Return the ledger after the pending write was certainly refused."""
     return replace(ledger, returning_units=0, pending_version=None)
 
--- a/comfreywind/entry/portions/portion_writer.py
+++ b/comfreywind/entry/portions/portion_writer.py
@@ -6,7 +6,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.portions.holder_name import split_flow, split_holder
 from comfreywind.decisions.portions.ledger_changes import (
-    clear_write,
+    clear_pending_write,
     record_flows,
     start_write,
 )
@@ -282,7 +282,7 @@
             self._unresolved.pop(write.resource, None)
             ledger = self._book.find_ledger(write.resource)
             if self._book.session_state is not None and ledger.pending_version == write.version:
-                self._book.set_ledger(write.resource, clear_write(ledger))
+                self._book.set_ledger(write.resource, clear_pending_write(ledger))
 
     async def _refresh(self) -> None:
         try:
