--- a/comfreywind/decisions/peer_report.py
+++ b/comfreywind/decisions/peer_report.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from comfreywind.decisions.view_mark import ViewMark
+from comfreywind.decisions.view_summary import ViewMark
 
 
 @dataclass(frozen=True, slots=True)
--- a/comfreywind/entry/propagation.py
+++ b/comfreywind/entry/propagation.py
@@ -12,7 +12,7 @@
 from comfreywind.decisions.keys import TeamKey
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
-from comfreywind.decisions.view_mark import ViewMark
+from comfreywind.decisions.view_summary import ViewMark
 from comfreywind.entry.bundle_loading import JSON_ERRORS, apply_offer
 from comfreywind.entry.fleet_view import FleetView
 from comfreywind.entry.rules_view import RulesView
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -11,7 +11,7 @@
 from comfreywind.decisions.peer_report import PeerReport
 from comfreywind.decisions.set_digest import exchange_row
 from comfreywind.decisions.resolve_write import WriteOutcome, resolve_write
-from comfreywind.decisions.view_mark import ViewMark
+from comfreywind.decisions.view_summary import ViewMark
 
 OWN = OwnView(ViewMark(2, 10, 20), 2, frozenset({11}), frozenset({21}))
 SAME = ViewMark(2, 10, 20)
--- a/tests/model/view_model.py
+++ b/tests/model/view_model.py
@@ -18,7 +18,7 @@
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
 from comfreywind.decisions.versions import is_newer_version
-from comfreywind.decisions.view_mark import ViewMark
+from comfreywind.decisions.view_summary import ViewMark
 
 FRESH_TICKS = 2
 OLD = FRESH_TICKS + 1
