--- a/comfreywind/decisions/own_view.py
+++ b/comfreywind/decisions/own_view.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from comfreywind.decisions.view_summary import ViewMark
+from comfreywind.decisions.view_summary import ViewSummary
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,12 +13,12 @@
     not been read yet.
     """
 
-    mark: ViewMark
+    mark: ViewSummary
     accepted_version: int
     merged_keys: frozenset[int]
     merged_vms: frozenset[int]
 
-    def covers(self, mark: ViewMark) -> bool:
+    def covers(self, mark: ViewSummary) -> bool:
         """Return whether this view holds everything that the other one holds."""
         keys_covered = mark.keys_digest == self.mark.keys_digest
         vms_covered = mark.vms_digest == self.mark.vms_digest
--- a/comfreywind/decisions/peer_report.py
+++ b/comfreywind/decisions/peer_report.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from comfreywind.decisions.view_summary import ViewMark
+from comfreywind.decisions.view_summary import ViewSummary
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,4 +18,4 @@
 
     name: str
     as_of_s: float
-    mark: ViewMark
+    mark: ViewSummary
--- a/comfreywind/decisions/view_summary.py
+++ b/comfreywind/decisions/view_summary.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ViewMark:
+class ViewSummary:
     """The bundle version in force (0 for none) and the digests of the keys and of the VM rows."""
 
     bundle_version: int
--- a/comfreywind/entry/propagation.py
+++ b/comfreywind/entry/propagation.py
@@ -12,7 +12,7 @@
 from comfreywind.decisions.keys import TeamKey
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
-from comfreywind.decisions.view_summary import ViewMark
+from comfreywind.decisions.view_summary import ViewSummary
 from comfreywind.entry.bundle_loading import JSON_ERRORS, apply_offer
 from comfreywind.entry.fleet_view import FleetView
 from comfreywind.entry.rules_view import RulesView
@@ -170,7 +170,7 @@
     def _make_own_view(self) -> OwnView:
         rules_view = self._rules_view
         return OwnView(
-            ViewMark(
+            ViewSummary(
                 rules_view.read_version(), rules_view.keys_digest, self._fleet_view.rows_digest
             ),
             rules_view.accepted_version,
@@ -204,8 +204,8 @@
         self._hub.send(peer_name, request)
 
 
-def _make_mark(heartbeat: Heartbeat) -> ViewMark:
-    return ViewMark(heartbeat.bundle_version, heartbeat.keys_digest, heartbeat.vms_digest)
+def _make_mark(heartbeat: Heartbeat) -> ViewSummary:
+    return ViewSummary(heartbeat.bundle_version, heartbeat.keys_digest, heartbeat.vms_digest)
 
 
 def _remember(digests: dict[int, None], digest: int | None) -> None:
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -11,10 +11,10 @@
 from comfreywind.decisions.peer_report import PeerReport
 from comfreywind.decisions.set_digest import exchange_row
 from comfreywind.decisions.resolve_write import WriteOutcome, resolve_write
-from comfreywind.decisions.view_summary import ViewMark
+from comfreywind.decisions.view_summary import ViewSummary
 
-OWN = OwnView(ViewMark(2, 10, 20), 2, frozenset({11}), frozenset({21}))
-SAME = ViewMark(2, 10, 20)
+OWN = OwnView(ViewSummary(2, 10, 20), 2, frozenset({11}), frozenset({21}))
+SAME = ViewSummary(2, 10, 20)
 NEEDED_CASES = (
     (1, False, 2),
     (2, False, 2),
@@ -27,15 +27,15 @@
 )
 CONFIRMED_CASES = (
     ('enough', [(8, SAME), (9, SAME)], 8),
-    ('older view', [(8, SAME), (9, ViewMark(1, 10, 20))], 8),
-    ('merged rows', [(8, SAME), (9, ViewMark(2, 11, 21))], 8),
+    ('older view', [(8, SAME), (9, ViewSummary(1, 10, 20))], 8),
+    ('merged rows', [(8, SAME), (9, ViewSummary(2, 11, 21))], 8),
     ('too few', [(9, SAME)], None),
     ('too old', [(4, SAME), (9, SAME)], None),
-    ('peer without rules', [(9, ViewMark(0, 10, 20)), (9, SAME)], None),
-    ('newer version', [(9, SAME), (9, SAME), (9, ViewMark(3, 10, 20))], None),
-    ('unknown keys', [(9, SAME), (9, SAME), (9, ViewMark(2, 12, 20))], None),
-    ('unknown VM rows', [(9, SAME), (9, SAME), (9, ViewMark(2, 10, 22))], None),
-    ('old report of a newer version', [(8, SAME), (9, SAME), (4, ViewMark(3, 10, 20))], 8),
+    ('peer without rules', [(9, ViewSummary(0, 10, 20)), (9, SAME)], None),
+    ('newer version', [(9, SAME), (9, SAME), (9, ViewSummary(3, 10, 20))], None),
+    ('unknown keys', [(9, SAME), (9, SAME), (9, ViewSummary(2, 12, 20))], None),
+    ('unknown VM rows', [(9, SAME), (9, SAME), (9, ViewSummary(2, 10, 22))], None),
+    ('old report of a newer version', [(8, SAME), (9, SAME), (4, ViewSummary(3, 10, 20))], 8),
 )
 WRITE_CASES = (
     (3, 4, 'own', WriteOutcome.APPLIED),
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(('case', 'reports', 'confirmed_s'), CONFIRMED_CASES)
-def test_confirmed(case: str, reports: list[tuple[float, ViewMark]], confirmed_s: float) -> None:
+def test_confirmed(case: str, reports: list[tuple[float, ViewSummary]], confirmed_s: float) -> None:
     """A view must not be confirmed by too few or too old reports, or while a newer one exists."""
     peer_reports = [PeerReport('peer', as_of_s, mark) for as_of_s, mark in reports]
     assert find_confirmed_s(OWN, peer_reports, 2, oldest_s=5) == confirmed_s, case
@@ -68,7 +68,12 @@
 
 def test_sources() -> None:
     """Only peers with something new are asked, and the one with the newest bundle first."""
-    marks = {'a': SAME, 'b': ViewMark(2, 12, 20), 'c': ViewMark(3, 10, 20), 'd': ViewMark(0, 0, 0)}
+    marks = {
+        'a': SAME,
+        'b': ViewSummary(2, 12, 20),
+        'c': ViewSummary(3, 10, 20),
+        'd': ViewSummary(0, 0, 0),
+    }
     reports = [PeerReport(name, 9, mark) for name, mark in marks.items()]
     assert list_view_sources(OWN, reports) == ['c', 'b']
 
--- a/tests/model/view_model.py
+++ b/tests/model/view_model.py
@@ -18,7 +18,7 @@
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
 from comfreywind.decisions.versions import is_newer_version
-from comfreywind.decisions.view_summary import ViewMark
+from comfreywind.decisions.view_summary import ViewSummary
 
 FRESH_TICKS = 2
 OLD = FRESH_TICKS + 1
@@ -177,9 +177,9 @@
     version: int, accepted_version: int, reports: tuple[tuple[int, int], ...], needed_count: int
 ) -> float | None:
     """Call the decision with reports given as (age, version); cached, since inputs recur often."""
-    own = OwnView(ViewMark(version, 0, 0), accepted_version, frozenset(), frozenset())
+    own = OwnView(ViewSummary(version, 0, 0), accepted_version, frozenset(), frozenset())
     peer_reports = [
-        PeerReport(str(index), -age, ViewMark(report_version, 0, 0))
+        PeerReport(str(index), -age, ViewSummary(report_version, 0, 0))
         for index, (age, report_version) in enumerate(reports)
     ]
     return find_confirmed_s(own, peer_reports, needed_count, -FRESH_TICKS)
