--- a/comfreywind/decisions/freshness.py
+++ b/comfreywind/decisions/freshness.py
@@ -34,17 +34,17 @@
     recent = [
         report
         for report in reports
-        if report.as_of_s >= oldest_s and report.mark.bundle_version > 0
+        if report.as_of_s >= oldest_s and report.summary.bundle_version > 0
     ]
-    if own.mark.bundle_version < own.accepted_version or len(recent) < needed_count:
+    if own.summary.bundle_version < own.accepted_version or len(recent) < needed_count:
         return None
-    if not all(own.covers(report.mark) for report in recent):
+    if not all(own.covers(report.summary) for report in recent):
         return None
     return sorted((report.as_of_s for report in recent), reverse=True)[needed_count - 1]
 
 
 def list_view_sources(own: OwnView, reports: Iterable[PeerReport]) -> list[str]:
     """Return the peers whose views hold something that this entry lacks, newest bundle first."""
-    ahead = [report for report in reports if not own.covers(report.mark)]
-    ahead.sort(key=lambda report: (-report.mark.bundle_version, report.name))
-    return [report.name for report in ahead if report.mark.bundle_version > 0]
+    ahead = [report for report in reports if not own.covers(report.summary)]
+    ahead.sort(key=lambda report: (-report.summary.bundle_version, report.name))
+    return [report.name for report in ahead if report.summary.bundle_version > 0]
--- a/comfreywind/decisions/own_view.py
+++ b/comfreywind/decisions/own_view.py
@@ -13,17 +13,17 @@
     not been read yet.
     """
 
-    mark: ViewSummary
+    summary: ViewSummary
     accepted_version: int
     merged_keys: frozenset[int]
     merged_vms: frozenset[int]
 
-    def covers(self, mark: ViewSummary) -> bool:
+    def covers(self, summary: ViewSummary) -> bool:
         """Return whether this view holds everything that the other one holds."""
-        keys_covered = mark.keys_digest == self.mark.keys_digest
-        vms_covered = mark.vms_digest == self.mark.vms_digest
+        keys_covered = summary.keys_digest == self.summary.keys_digest
+        vms_covered = summary.vms_digest == self.summary.vms_digest
         return (
-            self.mark.bundle_version >= mark.bundle_version
-            and (keys_covered or mark.keys_digest in self.merged_keys)
-            and (vms_covered or mark.vms_digest in self.merged_vms)
+            self.summary.bundle_version >= summary.bundle_version
+            and (keys_covered or summary.keys_digest in self.merged_keys)
+            and (vms_covered or summary.vms_digest in self.merged_vms)
         )
--- a/comfreywind/decisions/peer_report.py
+++ b/comfreywind/decisions/peer_report.py
@@ -18,4 +18,4 @@
 
     name: str
     as_of_s: float
-    mark: ViewSummary
+    summary: ViewSummary
--- a/comfreywind/entry/propagation.py
+++ b/comfreywind/entry/propagation.py
@@ -165,7 +165,7 @@
         if self._rules_view.is_cold():
             return reports
         attempted_s = self._clock.read_monotonic_s() - self._rules_view.read_attempt_age_s()
-        return [*reports, PeerReport(OWN_NAME, attempted_s, own.mark)]
+        return [*reports, PeerReport(OWN_NAME, attempted_s, own.summary)]
 
     def _make_own_view(self) -> OwnView:
         rules_view = self._rules_view
@@ -199,8 +199,10 @@
             self._send_request(sender.name, wants_vm_list=True)
 
     def _send_request(self, peer_name: str, wants_vm_list: bool) -> None:
-        mark = self._make_own_view().mark
-        request = ViewRequest(mark.bundle_version, mark.keys_digest, mark.vms_digest, wants_vm_list)
+        summary = self._make_own_view().summary
+        request = ViewRequest(
+            summary.bundle_version, summary.keys_digest, summary.vms_digest, wants_vm_list
+        )
         self._hub.send(peer_name, request)
 
 
