--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -4,7 +4,7 @@
 
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.clock import Clock
-from comfreywind.decisions.pool_plan import LoadsByTeam, PoolPlan, make_pool_plan
+from comfreywind.decisions.slot_allocation import LoadsByTeam, PoolPlan, make_pool_plan
 from comfreywind.decisions.capacity_rule import PoolCapacity
 from comfreywind.decisions.slot_rounding import make_offset
 from comfreywind.decisions.urgent_reserve import count_reserved_slots
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -8,7 +8,7 @@
 
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.decisions.fair_share import ShareClaim, compute_fair_shares
-from comfreywind.decisions.pool_plan import make_pool_plan
+from comfreywind.decisions.slot_allocation import make_pool_plan
 from comfreywind.decisions.capacity_rule import PoolCapacity, CapacityRule, decide_capacity_rule
 from comfreywind.decisions.service_time import (
     WAIT_MARGIN,
