--- a/comfreywind/decisions/slot_allocation.py
+++ b/comfreywind/decisions/slot_allocation.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoolPlan:
+class SlotAllocation:
     """Slots that this entry may use, computed from the loads of all entries.
 
     `entitlements` is each team's share of the pool in slots, `quotas` this entry's share of each
@@ -36,7 +36,7 @@
     teams: Mapping[str, TeamRules],
     capacity: float,
     rounding_offset: float,
-) -> PoolPlan:
+) -> SlotAllocation:
     """Divide the `capacity` slots of a pool, given the loads of all entries by entry name.
 
     Every entry computes this from the same reports. As far as the reports are current, the slots of
@@ -49,7 +49,7 @@
     slots_by_entry = round_to_slots(entry_quotas, rounding_offset)
     peers = [entry for entry in loads if entry != own_name]
     total_weight = sum(team.weight for team in teams.values()) or 1
-    return PoolPlan(
+    return SlotAllocation(
         entitlements=entitlements,
         quotas=quotas_by_entry[own_name],
         slots=slots_by_entry[own_name],
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -4,7 +4,7 @@
 
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.clock import Clock
-from comfreywind.decisions.slot_allocation import LoadsByTeam, PoolPlan, make_pool_plan
+from comfreywind.decisions.slot_allocation import LoadsByTeam, SlotAllocation, make_pool_plan
 from comfreywind.decisions.capacity_rule import PoolCapacity
 from comfreywind.decisions.slot_rounding import make_offset
 from comfreywind.decisions.urgent_reserve import count_reserved_slots
@@ -21,7 +21,7 @@
         """Start with nothing waiting."""
         self.targets = targets
         self.teams: dict[str, TeamQueue] = {}
-        self.plan = PoolPlan()
+        self.plan = SlotAllocation()
         self.running = 0
         # Teams with running or waiting requests; the others cost nothing in a plan or a report.
         self._active: dict[str, TeamQueue] = {}
