--- a/comfreywind/decisions/slot_allocation.py
+++ b/comfreywind/decisions/slot_allocation.py
@@ -30,7 +30,7 @@
     peers_below_quota: bool = False
 
 
-def make_pool_plan(
+def allocate_slots(
     own_name: str,
     loads: Mapping[str, LoadsByTeam],
     teams: Mapping[str, TeamRules],
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -4,7 +4,7 @@
 
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.clock import Clock
-from comfreywind.decisions.slot_allocation import LoadsByTeam, SlotAllocation, make_pool_plan
+from comfreywind.decisions.slot_allocation import LoadsByTeam, SlotAllocation, allocate_slots
 from comfreywind.decisions.capacity_rule import PoolCapacity
 from comfreywind.decisions.slot_rounding import make_offset
 from comfreywind.decisions.urgent_reserve import count_reserved_slots
@@ -135,7 +135,7 @@
             )
         capacity = self.targets.capacity - self._reserved_slots
         offset = make_offset(clock.read_utc().timestamp())
-        self.plan = make_pool_plan(own_name, loads, team_rules, capacity, offset)
+        self.plan = allocate_slots(own_name, loads, team_rules, capacity, offset)
         for team in self._active.values():
             self._apply_plan(team)
 
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -8,7 +8,7 @@
 
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.decisions.fair_share import ShareClaim, compute_fair_shares
-from comfreywind.decisions.slot_allocation import make_pool_plan
+from comfreywind.decisions.slot_allocation import allocate_slots
 from comfreywind.decisions.capacity_rule import PoolCapacity, CapacityRule, decide_capacity_rule
 from comfreywind.decisions.service_time import (
     WAIT_MARGIN,
@@ -84,7 +84,7 @@
     """The entries together must not plan more than the pool or a ceiling, nor leave slots idle."""
     offset = make_offset(second)
     plans = {
-        entry: make_pool_plan(entry, all_loads, team_rules, capacity, offset) for entry in all_loads
+        entry: allocate_slots(entry, all_loads, team_rules, capacity, offset) for entry in all_loads
     }
     demands = {
         team: sum(entry[team].demand for entry in all_loads.values() if team in entry)
