--- a/comfreywind/decisions/slot_allocation.py
+++ b/comfreywind/decisions/slot_allocation.py
@@ -17,14 +17,14 @@
 
     `entitlements` is each team's share of the pool in slots, `quotas` this entry's share of each
     entitlement, and `slots` the sum of the quotas as a whole number. A team that had no demand when
-    the slots were divided gets `newcomer_quota` for each unit of its weight. `urgent_running` is,
+    the slots were divided gets `default_quota_per_weight` for each unit of its weight. `urgent_running` is,
     by team, the number of running urgent requests of all entries.
     """
 
     entitlements: dict[str, float] = field(default_factory=dict)
     quotas: dict[str, float] = field(default_factory=dict)
     slots: int = 0
-    newcomer_quota: float = 1
+    default_quota_per_weight: float = 1
     urgent_running: dict[str, int] = field(default_factory=dict)
     urgent_ready_at_peers: int = 0
     peers_below_quota: bool = False
@@ -53,7 +53,7 @@
         entitlements=entitlements,
         quotas=quotas_by_entry[own_name],
         slots=slots_by_entry[own_name],
-        newcomer_quota=max(capacity, 1) / (total_weight * len(loads)),
+        default_quota_per_weight=max(capacity, 1) / (total_weight * len(loads)),
         urgent_running=_sum_urgent_running(loads),
         urgent_ready_at_peers=sum(_sum_urgent_ready(loads[peer]) for peer in peers),
         peers_below_quota=any(_is_below_quota(loads[peer], slots_by_entry[peer]) for peer in peers),
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -147,7 +147,7 @@
         quota = self.plan.quotas.get(team.team, 0)
         entitlement = self.plan.entitlements.get(team.team)
         running = self.plan.urgent_running.get(team.team, 0)
-        team.quota = quota or self._weights.get(team.team, 1) * self.plan.newcomer_quota
+        team.quota = quota or self._weights.get(team.team, 1) * self.plan.default_quota_per_weight
         team.urgent_allowed = entitlement is None or running < max(1, entitlement)
 
     def _read_mean_run_s(self, now_s: float) -> float:
