--- a/comfreywind/decisions/admission.py
+++ b/comfreywind/decisions/admission.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from comfreywind.bundle.rules import QueueRules, Rules
-from comfreywind.decisions.keys import TeamKey, find_team
+from comfreywind.decisions.keys import TeamKey, authenticate_team
 from comfreywind.decisions.refusal import Refusal, RefusalReason
 
 
@@ -33,7 +33,7 @@
         return Refusal(RefusalReason.QUEUE_UNKNOWN, f'no queue is named {request.queue!r}')
     if not request.authorization:
         return _admit_without_key(queue)
-    team = find_team(keys, request.authorization)
+    team = authenticate_team(keys, request.authorization)
     if team is None:
         return Refusal(RefusalReason.KEY_UNKNOWN, 'the key is not known or was withdrawn')
     return _admit_team(request, queue, team, team in rules.teams)
--- a/comfreywind/decisions/keys.py
+++ b/comfreywind/decisions/keys.py
@@ -44,7 +44,7 @@
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
-def find_team(keys: dict[str, TeamKey], authorization: str) -> str | None:
+def authenticate_team(keys: dict[str, TeamKey], authorization: str) -> str | None:
     """Return the team of a bearer key (RFC 6750), or None for an unknown or withdrawn key."""
     scheme, _, text = authorization.partition(' ')
     fields = text.strip().split('_')
