--- a/comfreywind/decisions/attempt.py
+++ b/comfreywind/decisions/attempt.py
@@ -41,7 +41,7 @@
     silent: bool = False
 
 
-def find_outcome(attempt: Attempt) -> Outcome:
+def get_outcome(attempt: Attempt) -> Outcome:
     """Return what the caller may conclude from the attempt.
 
     Once a byte may have reached the target, only a refusal by the target proves that the request
--- a/comfreywind/decisions/retry.py
+++ b/comfreywind/decisions/retry.py
@@ -3,7 +3,7 @@
 import enum
 from dataclasses import dataclass
 
-from comfreywind.decisions.attempt import Attempt, AttemptEnd, find_outcome
+from comfreywind.decisions.attempt import Attempt, AttemptEnd, get_outcome
 from comfreywind.decisions.refusal import Outcome
 
 MAX_FAILURES = 3
@@ -47,7 +47,7 @@
         return RetryDecision.FINISH
     if attempt.end is AttemptEnd.REFUSED:
         return RetryDecision.QUEUE_AGAIN
-    is_repeatable = context.idempotent or find_outcome(attempt) is Outcome.NOT_RUN
+    is_repeatable = context.idempotent or get_outcome(attempt) is Outcome.NOT_RUN
     if not is_repeatable or not context.budget_left or context.failures >= MAX_FAILURES:
         return RetryDecision.FINISH
     return _decide_retry_target(attempt, context.other_target_exists)
--- a/comfreywind/entry/claim_asker.py
+++ b/comfreywind/entry/claim_asker.py
@@ -18,10 +18,10 @@
 class ClaimAsker:
     """Exchanges `ClaimQuery` and `ClaimReply`; an owner that doesn't answer knows nothing."""
 
-    def __init__(self, hub: PeerHub, find_outcome: Callable[[str], Outcome | None]) -> None:
-        """Answer queries with `find_outcome`, which takes a claim id."""
+    def __init__(self, hub: PeerHub, get_outcome: Callable[[str], Outcome | None]) -> None:
+        """Answer queries with `get_outcome`, which takes a claim id."""
         self._hub = hub
-        self._find_outcome = find_outcome
+        self._find_outcome = get_outcome
         self._replies: dict[str, trio.MemorySendChannel[str]] = {}
         hub.subscribe(ClaimQuery, self._answer)
         hub.subscribe(ClaimReply, self._take_reply)
--- a/comfreywind/entry/claims.py
+++ b/comfreywind/entry/claims.py
@@ -60,7 +60,7 @@
         self._retention_s = retention_s
         self._writer = GroupedWriter(tables)
         self._held: dict[str, Claim] = {}
-        self._asker = None if hub is None else ClaimAsker(hub, self.find_outcome)
+        self._asker = None if hub is None else ClaimAsker(hub, self.get_outcome)
 
     async def run(self) -> None:
         """Send the grouped writes for ever."""
@@ -95,7 +95,7 @@
         claim.outcome = outcome
         self._services.start(partial(self._settle, claim))
 
-    def find_outcome(self, claim_id: str) -> Outcome | None:
+    def get_outcome(self, claim_id: str) -> Outcome | None:
         """Return the outcome of a claim held here, or None while it runs or is not known."""
         claim = self._held.get(claim_id)
         return None if claim is None else claim.outcome
@@ -138,7 +138,7 @@
 
     async def _ask_owner(self, row: ClaimRow) -> Outcome | None:
         if row.entry == self._identity.name:
-            return self.find_outcome(row.claim_id)
+            return self.get_outcome(row.claim_id)
         return None if self._asker is None else await self._asker.ask(row)
 
     def _give_up(self, claim: Claim, sent: bool) -> None:
--- a/comfreywind/entry/forwarder.py
+++ b/comfreywind/entry/forwarder.py
@@ -36,7 +36,7 @@
             await self._run(run, send)
         finally:
             if claim is not None:
-                self._claims.finish(claim, run.find_outcome())
+                self._claims.finish(claim, run.get_outcome())
 
     async def _run(self, run: RequestRun, send: Send) -> None:
         answer = await self._caller.call(run)
--- a/comfreywind/entry/request_run.py
+++ b/comfreywind/entry/request_run.py
@@ -1,7 +1,7 @@
 """The attempts of one request so far."""
 
 from comfreywind.bundle.rules import PoolRules, QueueRules
-from comfreywind.decisions.attempt import Attempt, AttemptEnd, find_outcome
+from comfreywind.decisions.attempt import Attempt, AttemptEnd, get_outcome
 from comfreywind.decisions.refusal import Outcome, Refusal, RefusalReason
 from comfreywind.entry.caller_request import CallerRequest
 from comfreywind.entry.placement import Placement
@@ -45,7 +45,7 @@
         """Take the result of an attempt."""
         self.call = None
         self.refused_at = None
-        if find_outcome(attempt) is not Outcome.NOT_RUN:
+        if get_outcome(attempt) is not Outcome.NOT_RUN:
             self._may_have_run = True
         if attempt.end is AttemptEnd.REFUSED:
             self.refused_at = placement
@@ -53,7 +53,7 @@
             self.failures += 1
             self.failed_targets |= {placement.target.name}
 
-    def find_outcome(self) -> Outcome:
+    def get_outcome(self) -> Outcome:
         """Return what is known of the request now."""
         if self.answered:
             return Outcome.ANSWERED
@@ -63,7 +63,7 @@
 
     def make_refusal(self, attempt: Attempt, target_name: str) -> Refusal:
         """Return the final refusal after the last attempt."""
-        outcome = self.find_outcome()
+        outcome = self.get_outcome()
         reason, detail = _explain(attempt, outcome)
         return Refusal(
             reason, f'{target_name} {detail}', outcome, self._find_retry_after_s(outcome)
@@ -71,7 +71,7 @@
 
     def restate(self, refusal: Refusal) -> Refusal:
         """Return a refusal of the queue as it holds after earlier attempts."""
-        if self.find_outcome() is Outcome.NOT_RUN:
+        if self.get_outcome() is Outcome.NOT_RUN:
             return refusal
         detail = f'an attempt failed and no other followed: {refusal.detail}'
         return Refusal(
--- a/tests/test_retry_decisions.py
+++ b/tests/test_retry_decisions.py
@@ -3,7 +3,7 @@
 import pytest
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.attempt import Attempt, AttemptEnd, counts_as_failure, find_outcome
+from comfreywind.decisions.attempt import Attempt, AttemptEnd, counts_as_failure, get_outcome
 from comfreywind.decisions.refusal import Outcome
 from comfreywind.decisions.retry import RetryContext, RetryDecision, decide_retry
 from comfreywind.decisions.retry_budget import (
@@ -46,7 +46,7 @@
 )
 def test_outcome(attempt: Attempt, outcome: Outcome) -> None:
     """Not-run must not be reported once a byte may have reached the target, unless it refused."""
-    assert find_outcome(attempt) is outcome
+    assert get_outcome(attempt) is outcome
 
 
 @pytest.mark.parametrize(
