--- a/comfreywind/decisions/own_view.py
+++ b/comfreywind/decisions/own_view.py
@@ -1,28 +1,29 @@
-"""This entry's view as the freshness decisions need it."""
+"""Summary of this entry's view, for the freshness decisions."""
 
 from dataclasses import dataclass
 
-from comfreywind.decisions.view_mark import ViewMark
+from comfreywind.decisions.view_summary import ViewSummary
 
 
 @dataclass(frozen=True, slots=True)
 class OwnView:
-    """The mark of the own view and the digests of peers' rows that were merged into it.
+    """The summary of this entry's view, and the digests of peers' rows that were merged into it.
 
-    `accepted_version` is the highest bundle version known to be accepted, with or without content.
+    `accepted_version` is the highest bundle version known to be accepted, even if its content has
+    not been read yet.
     """
 
-    mark: ViewMark
+    summary: ViewSummary
     accepted_version: int
     merged_keys: frozenset[int]
     merged_vms: frozenset[int]
 
-    def covers(self, mark: ViewMark) -> bool:
-        """Return whether this view holds all that the other one holds."""
-        keys_covered = mark.keys_digest == self.mark.keys_digest
-        vms_covered = mark.vms_digest == self.mark.vms_digest
+    def covers(self, summary: ViewSummary) -> bool:
+        """Return whether this view holds everything that the other one holds."""
+        keys_covered = summary.keys_digest == self.summary.keys_digest
+        vms_covered = summary.vms_digest == self.summary.vms_digest
         return (
-            self.mark.bundle_version >= mark.bundle_version
-            and (keys_covered or mark.keys_digest in self.merged_keys)
-            and (vms_covered or mark.vms_digest in self.merged_vms)
+            self.summary.bundle_version >= summary.bundle_version
+            and (keys_covered or summary.keys_digest in self.merged_keys)
+            and (vms_covered or summary.vms_digest in self.merged_vms)
         )
--- a/comfreywind/decisions/pool_plan.py
+++ b/comfreywind/decisions/slot_allocation.py
@@ -12,54 +12,55 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoolPlan:
-    """What this entry derives from the loads of all entries.
+class SlotAllocation:
+    """Slots that this entry may use, computed from the loads of all entries.
 
-    `entitlements` is each team's part of the pool in slots, `quotas` this entry's part of each
-    entitlement, and `slots` their sum as a whole number. `newcomer_quota` is the quota for each unit of weight of a team that had no demand
-    when the plan was made. `urgent_running` counts running urgent requests of all entries.
+    `entitlements` is each team's share of the pool in slots, `quotas` this entry's share of each
+    entitlement, and `slots` the sum of the quotas as a whole number. A team that had no demand when
+    the slots were divided gets `default_quota_per_weight` for each unit of its weight. `urgent_running` is,
+    by team, the number of running urgent requests of all entries.
     """
 
     entitlements: dict[str, float] = field(default_factory=dict)
     quotas: dict[str, float] = field(default_factory=dict)
     slots: int = 0
-    newcomer_quota: float = 1
+    default_quota_per_weight: float = 1
     urgent_running: dict[str, int] = field(default_factory=dict)
     urgent_ready_at_peers: int = 0
     peers_below_quota: bool = False
 
 
-def make_pool_plan(
+def allocate_slots(
     own_name: str,
     loads: Mapping[str, LoadsByTeam],
     teams: Mapping[str, TeamRules],
     capacity: float,
     rounding_offset: float,
-) -> PoolPlan:
-    """Return the plan for one pool with `capacity` slots from the loads of all entries by name.
+) -> SlotAllocation:
+    """Divide the `capacity` slots of a pool, given the loads of all entries by entry name.
 
-    Every entry makes it from the same reports, so that the slots of all entries sum up to the
-    capacity as far as the reports are current.
+    Every entry computes this from the same reports. As far as the reports are current, the slots of
+    all entries therefore sum up to the capacity.
     """
-    claims = _make_claims(loads, teams)
+    claims = _make_share_claims(loads, teams)
     entitlements = compute_fair_shares(capacity, claims)
     quotas_by_entry = _split_entitlements(entitlements, loads)
     entry_quotas = {entry: sum(quotas.values()) for entry, quotas in quotas_by_entry.items()}
     slots_by_entry = round_to_slots(entry_quotas, rounding_offset)
     peers = [entry for entry in loads if entry != own_name]
     total_weight = sum(team.weight for team in teams.values()) or 1
-    return PoolPlan(
+    return SlotAllocation(
         entitlements=entitlements,
         quotas=quotas_by_entry[own_name],
         slots=slots_by_entry[own_name],
-        newcomer_quota=max(capacity, 1) / (total_weight * len(loads)),
+        default_quota_per_weight=max(capacity, 1) / (total_weight * len(loads)),
         urgent_running=_sum_urgent_running(loads),
         urgent_ready_at_peers=sum(_sum_urgent_ready(loads[peer]) for peer in peers),
         peers_below_quota=any(_is_below_quota(loads[peer], slots_by_entry[peer]) for peer in peers),
     )
 
 
-def _make_claims(
+def _make_share_claims(
     loads: Mapping[str, LoadsByTeam], teams: Mapping[str, TeamRules]
 ) -> dict[str, ShareClaim]:
     demands: dict[str, int] = {}
--- a/comfreywind/entry/claims.py
+++ b/comfreywind/entry/claims.py
@@ -15,8 +15,8 @@
     decide_after_read,
     decide_after_write,
     decide_claim_end,
-    find_write_condition,
-    is_end_settled,
+    get_write_condition,
+    is_end_resolved,
 )
 from comfreywind.decisions.refusal import Outcome, Refusal, RefusalReason
 from comfreywind.entry.claim import Claim
@@ -60,7 +60,7 @@
         self._retention_s = retention_s
         self._writer = GroupedWriter(tables)
         self._held: dict[str, Claim] = {}
-        self._asker = None if hub is None else ClaimAsker(hub, self.find_outcome)
+        self._asker = None if hub is None else ClaimAsker(hub, self.get_outcome)
 
     async def run(self) -> None:
         """Send the grouped writes for ever."""
@@ -95,7 +95,7 @@
         claim.outcome = outcome
         self._services.start(partial(self._settle, claim))
 
-    def find_outcome(self, claim_id: str) -> Outcome | None:
+    def get_outcome(self, claim_id: str) -> Outcome | None:
         """Return the outcome of a claim held here, or None while it runs or is not known."""
         claim = self._held.get(claim_id)
         return None if claim is None else claim.outcome
@@ -106,7 +106,7 @@
         step = ClaimStep.WRITE
         while True:
             if step is ClaimStep.WRITE:
-                condition = find_write_condition(row)
+                condition = get_write_condition(row)
                 step = decide_after_write(await self._write(claim, condition))
             elif step is ClaimStep.READ:
                 row = await self._read_until_answered(claim)
@@ -138,7 +138,7 @@
 
     async def _ask_owner(self, row: ClaimRow) -> Outcome | None:
         if row.entry == self._identity.name:
-            return self.find_outcome(row.claim_id)
+            return self.get_outcome(row.claim_id)
         return None if self._asker is None else await self._asker.ask(row)
 
     def _give_up(self, claim: Claim, sent: bool) -> None:
@@ -173,7 +173,7 @@
     async def _find_version(self, claim: Claim, end: ClaimEnd) -> int | None:
         await self._writer.wait_for_flight()
         row = await self._read(claim)
-        if row is None or is_end_settled(end, row, claim.claim_id):
+        if row is None or is_end_resolved(end, row, claim.claim_id):
             return None
         return row.version
 
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -4,8 +4,8 @@
 
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.clock import Clock
-from comfreywind.decisions.pool_plan import LoadsByTeam, PoolPlan, make_pool_plan
-from comfreywind.decisions.room_rule import PoolRoom
+from comfreywind.decisions.capacity_rule import PoolCapacity
+from comfreywind.decisions.slot_allocation import LoadsByTeam, SlotAllocation, allocate_slots
 from comfreywind.decisions.slot_rounding import make_offset
 from comfreywind.decisions.urgent_reserve import count_reserved_slots
 from comfreywind.entry.placement import Placement
@@ -21,7 +21,7 @@
         """Start with nothing waiting."""
         self.targets = targets
         self.teams: dict[str, TeamQueue] = {}
-        self.plan = PoolPlan()
+        self.plan = SlotAllocation()
         self.running = 0
         # Teams with running or waiting requests; the others cost nothing in a plan or a report.
         self._active: dict[str, TeamQueue] = {}
@@ -98,9 +98,9 @@
         team_queue.catch_up(self._virtual_time_s)
         return True
 
-    def make_room(self) -> PoolRoom:
+    def make_room(self) -> PoolCapacity:
         """Return the figures that decide where the next request may go."""
-        return PoolRoom(
+        return PoolCapacity(
             running=self.running,
             quota_slots=self.plan.slots,
             free_slots=self.targets.free_slots,
@@ -135,7 +135,7 @@
             )
         capacity = self.targets.capacity - self._reserved_slots
         offset = make_offset(clock.read_utc().timestamp())
-        self.plan = make_pool_plan(own_name, loads, team_rules, capacity, offset)
+        self.plan = allocate_slots(own_name, loads, team_rules, capacity, offset)
         for team in self._active.values():
             self._apply_plan(team)
 
@@ -147,7 +147,7 @@
         quota = self.plan.quotas.get(team.team, 0)
         entitlement = self.plan.entitlements.get(team.team)
         running = self.plan.urgent_running.get(team.team, 0)
-        team.quota = quota or self._weights.get(team.team, 1) * self.plan.newcomer_quota
+        team.quota = quota or self._weights.get(team.team, 1) * self.plan.default_quota_per_weight
         team.urgent_allowed = entitlement is None or running < max(1, entitlement)
 
     def _read_mean_run_s(self, now_s: float) -> float:
--- a/comfreywind/entry/portions/fence_keeper.py
+++ b/comfreywind/entry/portions/fence_keeper.py
@@ -4,15 +4,15 @@
 from dataclasses import replace
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.portions.fence_case import (
-    FenceCase,
+from comfreywind.decisions.portions.fence_attempt import (
+    FenceAttempt,
     add_agreement,
     collect_flows,
     is_expired,
-    list_missing,
+    list_missing_members,
 )
-from comfreywind.decisions.portions.guard_effects import AgreeToFence
-from comfreywind.decisions.portions.guard_events import FenceAsked, RenewalSeen
+from comfreywind.decisions.portions.session_effects import AgreeToFence
+from comfreywind.decisions.portions.session_events import FenceRequested, RenewalObserved
 from comfreywind.decisions.portions.session_timing import SessionTiming
 from comfreywind.entry.portions.failure_detector import FailureDetector
 from comfreywind.entry.portions.member_row import encode_member_row
@@ -59,7 +59,7 @@
         self._clock = clock
         self._timing = SessionTiming(timings.session_ttl_s, timings.clock_drift_ratio)
         self._decisions = decisions
-        self._cases: dict[str, FenceCase] = {}
+        self._cases: dict[str, FenceAttempt] = {}
         self.failure_detector = FailureDetector(hub, view, clock)
         hub.subscribe(FenceQuery, self._receive_query)
         hub.subscribe(FenceReply, self._receive_reply)
@@ -97,13 +97,13 @@
             return 0
         return read_rank(self._own_name, self._hub)
 
-    def _find_case(self, seen: SeenMember) -> FenceCase:
+    def _find_case(self, seen: SeenMember) -> FenceAttempt:
         holder = seen.member.holder
         known = self._cases.get(holder)
         agreements = known.agreements if known else ()
         if known is not None and known.renewal_number != seen.member.renewal_number:
             agreements = ()
-        case = FenceCase(holder, seen.member.renewal_number, seen.since_s, agreements)
+        case = FenceAttempt(holder, seen.member.renewal_number, seen.since_s, agreements)
         self._cases[holder] = case
         return case
 
@@ -111,7 +111,7 @@
         holder = seen.member.holder
         self._agree_myself(holder)
         case = self._cases[holder]
-        missing = list_missing(case, self._list_needed())
+        missing = list_missing_members(case, self._list_needed())
         if not missing:
             await self._commit(seen, case)
             return
@@ -124,7 +124,7 @@
         """Agree as a member; a process that has not joined has promised nothing."""
         case = self._cases[holder]
         now_s = self._clock.read_monotonic_s()
-        effects = self._book.apply(FenceAsked(holder, case.renewal_number, now_s))
+        effects = self._book.apply(FenceRequested(holder, case.renewal_number, now_s))
         if effects:
             agreement = (self._book.holder, self._book.list_flows_with(holder))
             self._cases[holder] = add_agreement(case, case.renewal_number, agreement)
@@ -147,7 +147,7 @@
         dead_s = self.failure_detector.read_dead_since_s(seen.member)
         return dead_s is not None and dead_s <= oldest_s
 
-    async def _commit(self, seen: SeenMember, case: FenceCase) -> None:
+    async def _commit(self, seen: SeenMember, case: FenceAttempt) -> None:
         fenced = replace(seen.member, fenced=True, fenced_flows=collect_flows(case))
         writes = [
             RowWrite(TABLE_MEMBERS, fenced.name, seen.version, encode_member_row(fenced)),
@@ -183,7 +183,7 @@
         if self._book.leaving or query.holder == self._book.holder:
             return
         now_s = self._clock.read_monotonic_s()
-        effects = self._book.apply(FenceAsked(query.holder, query.renewal_number, now_s))
+        effects = self._book.apply(FenceRequested(query.holder, query.renewal_number, now_s))
         if effects != (AgreeToFence(query.holder, query.renewal_number),):
             return
         flows = tuple(
@@ -202,6 +202,6 @@
 
     def _see_renewals(self) -> None:
         for seen in self._view.list_live():
-            self._book.apply(RenewalSeen(seen.member.holder, seen.member.renewal_number))
+            self._book.apply(RenewalObserved(seen.member.holder, seen.member.renewal_number))
         live = {seen.member.holder for seen in self._view.list_live()}
         self._cases = {holder: case for holder, case in self._cases.items() if holder in live}
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -5,18 +5,22 @@
 from dataclasses import replace
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.portions.guard import Guard, is_committed, is_session_valid
-from comfreywind.decisions.portions.guard_effects import GuardEffect
-from comfreywind.decisions.portions.guard_events import FenceSeen, GuardEvent
-from comfreywind.decisions.portions.guard_step import apply_guard_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import (
+    apply_row,
     count_held_units,
     is_blocked,
     list_flows_with,
-    see_row,
 )
-from comfreywind.decisions.portions.totals import Totals, sum_totals
+from comfreywind.decisions.portions.number_map import NumberMap, sum_numbers
+from comfreywind.decisions.portions.session_effects import SessionEffect
+from comfreywind.decisions.portions.session_events import FenceObserved, SessionEvent
+from comfreywind.decisions.portions.session_state import (
+    SessionState,
+    is_committed,
+    is_session_valid,
+)
+from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.entry.portions.portion_codec import make_resource, read_team
 from comfreywind.entry.portions.portion_view import PortionView
 from comfreywind.entry.rules_view import RulesView
@@ -36,7 +40,7 @@
         self._ledgers: dict[str, Ledger] = {}
         self._held: dict[str, int] = {}
         self._wake_functions: list[WakeTeam] = []
-        self.guard: Guard | None = None
+        self.session_state: SessionState | None = None
         self.leaving = False
         self.used: Counter[str] = Counter()
         self.orphaned: Counter[str] = Counter()
@@ -46,7 +50,7 @@
     @property
     def holder(self) -> str:
         """Return the name under which this entry holds units, empty before it has joined."""
-        return self.guard.holder if self.guard else ''
+        return self.session_state.holder if self.session_state else ''
 
     def subscribe(self, wake_team: WakeTeam) -> None:
         """Call the function with a team's name when units of it arrive."""
@@ -58,16 +62,18 @@
             for wake_team in self._wake_functions:
                 wake_team(team)
 
-    def join(self, guard: Guard) -> None:
+    def join(self, session_state: SessionState) -> None:
         """Start as a new incarnation that holds nothing.
 
         Work that the last incarnation started runs on; its units are reclaimed by time and don't
         count here. What this process promised to others still holds.
         """
-        former = self.guard
-        self.guard = guard
+        former = self.session_state
+        self.session_state = session_state
         if former is not None:
-            self.guard = replace(guard, granted=former.granted, commitments=former.commitments)
+            self.session_state = replace(
+                session_state, granted=former.granted, commitments=former.commitments
+            )
         self.orphaned.update(self.used)
         self.used.clear()
         self._ledgers.clear()
@@ -75,37 +81,41 @@
         for resource in self._view.portions:
             self.see_portion(resource)
 
-    def apply(self, event: GuardEvent) -> tuple[GuardEffect, ...]:
+    def apply(self, event: SessionEvent) -> tuple[SessionEffect, ...]:
         """Apply the event to the guard and return the effects; nothing before the join."""
-        if self.guard is None:
+        if self.session_state is None:
             return ()
-        guard, effects = apply_guard_event(event, self.guard)
-        self.guard = guard
+        session_state, effects = apply_session_event(event, self.session_state)
+        self.session_state = session_state
         return effects
 
     def note_fence(self) -> None:
         """End the session of this incarnation for good."""
-        self.apply(FenceSeen())
+        self.apply(FenceObserved())
 
     def is_joined(self) -> bool:
         """Return whether this entry is a member that, as far as it knows, is not fenced."""
-        return self.guard is not None and not self.guard.fenced
+        return self.session_state is not None and not self.session_state.fenced
 
     def is_valid(self) -> bool:
         """Return whether work may start and units may be traded."""
-        if self.guard is None or self.leaving:
+        if self.session_state is None or self.leaving:
             return False
-        return is_session_valid(self.guard, self._clock.read_monotonic_s())
+        return is_session_valid(self.session_state, self._clock.read_monotonic_s())
 
     def read_session_left_s(self) -> float:
         """Return the seconds until the session ends, negative without one."""
-        if self.guard is None or self.guard.fenced:
+        if self.session_state is None or self.session_state.fenced:
             return NO_SESSION_S
-        return self.guard.valid_until_s - self._clock.read_monotonic_s()
+        return self.session_state.valid_until_s - self._clock.read_monotonic_s()
 
     def may_trade(self, holder: str) -> bool:
         """Return whether units may be given to the holder or received from it."""
-        return self.guard is not None and self.is_valid() and not is_committed(self.guard, holder)
+        return (
+            self.session_state is not None
+            and self.is_valid()
+            and not is_committed(self.session_state, holder)
+        )
 
     def try_take(self, team: str) -> bool:
         """Use one idle unit of the team if there is one and work may start."""
@@ -155,7 +165,7 @@
         if ledger is not None:
             return ledger
         version, row = self._view.read_portion(resource)
-        return see_row(Ledger(self.holder), row, version)
+        return apply_row(Ledger(self.holder), row, version)
 
     def set_ledger(self, resource: str, ledger: Ledger) -> None:
         """Keep a changed ledger."""
@@ -164,18 +174,18 @@
 
     def see_portion(self, resource: str) -> bool:
         """Take the newest row of the resource and return whether work may start that could not."""
-        if self.guard is None:
+        if self.session_state is None:
             return False
         team = read_team(resource)
         version, row = self._view.read_portion(resource)
         ledger = self.find_ledger(resource)
         held_before = self._held.get(team, 0)
         blocked_before = self.is_blocked(team)
-        self.set_ledger(resource, see_row(ledger, row, version))
+        self.set_ledger(resource, apply_row(ledger, row, version))
         unblocked = blocked_before and not self.is_blocked(team)
         return unblocked or self._held[team] > held_before
 
-    def list_flows_with(self, holder: str) -> tuple[tuple[str, Totals], ...]:
+    def list_flows_with(self, holder: str) -> tuple[tuple[str, NumberMap], ...]:
         """Return by resource all flows between this entry and the holder."""
         flows = [
             (resource, list_flows_with(ledger, holder))
@@ -186,7 +196,7 @@
     def count_traded(self, resource: str) -> int:
         """Return all units ever given or received, which changes with every transfer."""
         ledger = self._ledgers.get(resource)
-        return sum_totals(ledger.given) + sum_totals(ledger.received) if ledger else 0
+        return sum_numbers(ledger.given) + sum_numbers(ledger.received) if ledger else 0
 
     def list_resources(self) -> list[str]:
         """Return the resources with a ledger."""
--- a/comfreywind/entry/portions/portion_writer.py
+++ b/comfreywind/entry/portions/portion_writer.py
@@ -6,18 +6,18 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.portions.holder_name import split_flow, split_holder
 from comfreywind.decisions.portions.ledger_changes import (
-    clear_write,
+    clear_pending_write,
     record_flows,
     start_write,
 )
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import (
+    allocate_free_units,
     finish_reclaim,
     record_flow,
     return_units,
     set_ceiling,
     settle_holder,
-    take_free_units,
 )
 from comfreywind.entry.portions.member_row import MemberRow
 from comfreywind.entry.portions.portion_book import PortionBook
@@ -241,7 +241,7 @@
         part_units = -(-row.ceiling_units // max(1, len(self._view.list_live())))
         missing_units = part_units - self._book.count_held(team)
         wanted_units = max(missing_units, self._book.count_wanted(team))
-        return take_free_units(row, self._book.holder, wanted_units)
+        return allocate_free_units(row, self._book.holder, wanted_units)
 
     def _has_waited(self, key: tuple[str, str], wait_s: float) -> bool:
         now_s = self._clock.read_monotonic_s()
@@ -273,7 +273,7 @@
         """Keep what the write gives up out of use until its outcome is known."""
         self._unresolved[write.resource] = write
         ledger = self._book.find_ledger(write.resource)
-        if self._book.guard is not None and ledger.row_version == write.version:
+        if self._book.session_state is not None and ledger.row_version == write.version:
             self._book.set_ledger(write.resource, start_write(ledger, write.returning_units))
 
     def _forget(self, first_attempts: list[PlannedWrite]) -> None:
@@ -281,8 +281,8 @@
         for write in first_attempts:
             self._unresolved.pop(write.resource, None)
             ledger = self._book.find_ledger(write.resource)
-            if self._book.guard is not None and ledger.pending_version == write.version:
-                self._book.set_ledger(write.resource, clear_write(ledger))
+            if self._book.session_state is not None and ledger.pending_version == write.version:
+                self._book.set_ledger(write.resource, clear_pending_write(ledger))
 
     async def _refresh(self) -> None:
         try:
--- a/comfreywind/entry/portions/session_keeper.py
+++ b/comfreywind/entry/portions/session_keeper.py
@@ -6,11 +6,11 @@
 import trio
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.portions.guard import Guard
-from comfreywind.decisions.portions.guard_events import RenewalConfirmed
 from comfreywind.decisions.portions.holder_name import make_holder
+from comfreywind.decisions.portions.number_map import get_number
+from comfreywind.decisions.portions.session_events import RenewalConfirmed
+from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.session_timing import SessionTiming
-from comfreywind.decisions.portions.totals import read_total
 from comfreywind.entry.portions.member_row import MemberRow, encode_member_row
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_view import PortionView
@@ -96,12 +96,12 @@
     def _choose_incarnation(self) -> int:
         """Return the wall time, but at least one more than any known incarnation of this name."""
         name = self._member.name
-        known = [read_total(row.settled, name) for _, row in self._view.portions.values()]
+        known = [get_number(row.settled, name) for _, row in self._view.portions.values()]
         seen = self._view.members.get(name)
         if seen is not None:
             known.append(seen.member.incarnation)
         incarnation = self._member.incarnation
-        if self._book.guard is not None:
+        if self._book.session_state is not None:
             incarnation = int(self._clock.read_utc().timestamp() * NANOSECONDS_PER_S)
         return max(incarnation, *(int(number) + 1 for number in known), 1)
 
@@ -158,9 +158,9 @@
 
     def _enter(self, member: MemberRow) -> None:
         silent_s: float = 0
-        if self._book.guard is None:
+        if self._book.session_state is None:
             # An earlier process of this name may have promised something that isn't known here.
             silent_s = self._clock.read_monotonic_s() + self._timing.observed_ttl_s
         holder = make_holder(member.name, member.incarnation)
-        self._book.join(Guard(holder, self._timing, silent_s))
+        self._book.join(SessionState(holder, self._timing, silent_s))
         log.info('joined as %s', holder)
--- a/comfreywind/entry/propagation.py
+++ b/comfreywind/entry/propagation.py
@@ -12,7 +12,7 @@
 from comfreywind.decisions.keys import TeamKey
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
-from comfreywind.decisions.view_mark import ViewMark
+from comfreywind.decisions.view_summary import ViewSummary
 from comfreywind.entry.bundle_loading import JSON_ERRORS, apply_offer
 from comfreywind.entry.fleet_view import FleetView
 from comfreywind.entry.rules_view import RulesView
@@ -165,12 +165,12 @@
         if self._rules_view.is_cold():
             return reports
         attempted_s = self._clock.read_monotonic_s() - self._rules_view.read_attempt_age_s()
-        return [*reports, PeerReport(OWN_NAME, attempted_s, own.mark)]
+        return [*reports, PeerReport(OWN_NAME, attempted_s, own.summary)]
 
     def _make_own_view(self) -> OwnView:
         rules_view = self._rules_view
         return OwnView(
-            ViewMark(
+            ViewSummary(
                 rules_view.read_version(), rules_view.keys_digest, self._fleet_view.rows_digest
             ),
             rules_view.accepted_version,
@@ -199,13 +199,15 @@
             self._send_request(sender.name, wants_vm_list=True)
 
     def _send_request(self, peer_name: str, wants_vm_list: bool) -> None:
-        mark = self._make_own_view().mark
-        request = ViewRequest(mark.bundle_version, mark.keys_digest, mark.vms_digest, wants_vm_list)
+        summary = self._make_own_view().summary
+        request = ViewRequest(
+            summary.bundle_version, summary.keys_digest, summary.vms_digest, wants_vm_list
+        )
         self._hub.send(peer_name, request)
 
 
-def _make_mark(heartbeat: Heartbeat) -> ViewMark:
-    return ViewMark(heartbeat.bundle_version, heartbeat.keys_digest, heartbeat.vms_digest)
+def _make_mark(heartbeat: Heartbeat) -> ViewSummary:
+    return ViewSummary(heartbeat.bundle_version, heartbeat.keys_digest, heartbeat.vms_digest)
 
 
 def _remember(digests: dict[int, None], digest: int | None) -> None:
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -1,4 +1,4 @@
-"""Which view may be served from, and what became of a write whose reply was lost."""
+"""Tests of the confirmation of a view, of its digest and of writes whose reply was lost."""
 
 import pytest
 
@@ -9,12 +9,12 @@
 )
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
+from comfreywind.decisions.resolve_write import WriteOutcome, resolve_write
 from comfreywind.decisions.set_digest import exchange_row
-from comfreywind.decisions.settle_write import WriteOutcome, settle_write
-from comfreywind.decisions.view_mark import ViewMark
+from comfreywind.decisions.view_summary import ViewSummary
 
-OWN = OwnView(ViewMark(2, 10, 20), 2, frozenset({11}), frozenset({21}))
-SAME = ViewMark(2, 10, 20)
+OWN = OwnView(ViewSummary(2, 10, 20), 2, frozenset({11}), frozenset({21}))
+SAME = ViewSummary(2, 10, 20)
 NEEDED_CASES = (
     (1, False, 2),
     (2, False, 2),
@@ -27,15 +27,15 @@
 )
 CONFIRMED_CASES = (
     ('enough', [(8, SAME), (9, SAME)], 8),
-    ('older view', [(8, SAME), (9, ViewMark(1, 10, 20))], 8),
-    ('merged rows', [(8, SAME), (9, ViewMark(2, 11, 21))], 8),
+    ('older view', [(8, SAME), (9, ViewSummary(1, 10, 20))], 8),
+    ('merged rows', [(8, SAME), (9, ViewSummary(2, 11, 21))], 8),
     ('too few', [(9, SAME)], None),
     ('too old', [(4, SAME), (9, SAME)], None),
-    ('peer without rules', [(9, ViewMark(0, 10, 20)), (9, SAME)], None),
-    ('newer version', [(9, SAME), (9, SAME), (9, ViewMark(3, 10, 20))], None),
-    ('unknown keys', [(9, SAME), (9, SAME), (9, ViewMark(2, 12, 20))], None),
-    ('unknown VM rows', [(9, SAME), (9, SAME), (9, ViewMark(2, 10, 22))], None),
-    ('old report of a newer version', [(8, SAME), (9, SAME), (4, ViewMark(3, 10, 20))], 8),
+    ('peer without rules', [(9, ViewSummary(0, 10, 20)), (9, SAME)], None),
+    ('newer version', [(9, SAME), (9, SAME), (9, ViewSummary(3, 10, 20))], None),
+    ('unknown keys', [(9, SAME), (9, SAME), (9, ViewSummary(2, 12, 20))], None),
+    ('unknown VM rows', [(9, SAME), (9, SAME), (9, ViewSummary(2, 10, 22))], None),
+    ('old report of a newer version', [(8, SAME), (9, SAME), (4, ViewSummary(3, 10, 20))], 8),
 )
 WRITE_CASES = (
     (3, 4, 'own', WriteOutcome.APPLIED),
@@ -49,32 +49,37 @@
 
 @pytest.mark.parametrize(('members_count', 'cold', 'needed_count'), NEEDED_CASES)
 def test_needed_reports(members_count: int, cold: bool, needed_count: int) -> None:
-    """Guards against an entry that serves on the word of a minority, or on its own alone."""
+    """With too few reports, an entry would serve by the word of a minority or only its own."""
     assert count_needed_reports(members_count, cold) == needed_count
 
 
 @pytest.mark.parametrize(('case', 'reports', 'confirmed_s'), CONFIRMED_CASES)
-def test_confirmed(case: str, reports: list[tuple[float, ViewMark]], confirmed_s: float) -> None:
-    """Guards against a view confirmed by too few, too old or newer views."""
+def test_confirmed(case: str, reports: list[tuple[float, ViewSummary]], confirmed_s: float) -> None:
+    """A view must not be confirmed by too few or too old reports, or while a newer one exists."""
     peer_reports = [PeerReport('peer', as_of_s, mark) for as_of_s, mark in reports]
     assert find_confirmed_s(OWN, peer_reports, 2, oldest_s=5) == confirmed_s, case
 
 
 def test_content_of_accepted_version_missing() -> None:
-    """Guards against serving the old version while the accepted one is known but not readable."""
+    """The old version must not be served while a newer one is accepted but could not be read."""
     own = OwnView(SAME, 3, frozenset(), frozenset())
     assert find_confirmed_s(own, [PeerReport('a', 9, SAME)] * 3, 2, oldest_s=5) is None
 
 
 def test_sources() -> None:
-    """Guards against asking a peer that has nothing new, or none of the newest."""
-    marks = {'a': SAME, 'b': ViewMark(2, 12, 20), 'c': ViewMark(3, 10, 20), 'd': ViewMark(0, 0, 0)}
+    """Only peers with something new are asked, and the one with the newest bundle first."""
+    marks = {
+        'a': SAME,
+        'b': ViewSummary(2, 12, 20),
+        'c': ViewSummary(3, 10, 20),
+        'd': ViewSummary(0, 0, 0),
+    }
     reports = [PeerReport(name, 9, mark) for name, mark in marks.items()]
     assert list_view_sources(OWN, reports) == ['c', 'b']
 
 
 def test_digest_ignores_order() -> None:
-    """Guards against digests that differ for equal rows, or agree for different ones."""
+    """Digests must be equal for equal rows in any order, and differ for different rows."""
     first = exchange_row(exchange_row(0, 'a', 0, 1), 'b', 0, 7)
     second = exchange_row(exchange_row(exchange_row(0, 'b', 0, 6), 'a', 0, 1), 'b', 6, 7)
     assert first == second
@@ -83,5 +88,5 @@
 
 @pytest.mark.parametrize(('expected', 'found', 'write_id', 'outcome'), WRITE_CASES)
 def test_settle_write(expected: int, found: int, write_id: str, outcome: WriteOutcome) -> None:
-    """Guards against a write reported as done or refused when the row does not tell so."""
-    assert settle_write(expected, 'own', found, write_id) is outcome
+    """A write must not be reported as applied or refused unless the row proves it."""
+    assert resolve_write(expected, 'own', found, write_id) is outcome
