--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -131,17 +131,17 @@
         orders = self._orders.setdefault(wave.wave, {})
         self._settle_orders(orders, done, now_s)
         await self._store_done()
-        due = [
+        due_vms = [
             self._watch.vms[name]
             for name in wave.vms
             if name in self._watch.vms and name not in done
         ]
-        self._mark_due(due)
-        await self._tell(wave, complete=not due)
-        await self._empty_and_order(wave, due, orders, now_s)
+        self._mark_due(due_vms)
+        await self._tell(wave, complete=not due_vms)
+        await self._empty_and_order(wave, due_vms, orders, now_s)
 
-    def _mark_due(self, due: list[Vm]) -> None:
-        for vm in due:
+    def _mark_due(self, due_vms: list[Vm]) -> None:
+        for vm in due_vms:
             record = self._board.targets.get(vm.target_id)
             if record is not None:
                 record.due = True
@@ -183,9 +183,9 @@
         self._emptying_since_s.pop(target_id, None)
 
     async def _empty_and_order(
-        self, wave: UpkeepWave, due: list[Vm], orders: dict[str, VmOrder], now_s: float
+        self, wave: UpkeepWave, due_vms: list[Vm], orders: dict[str, VmOrder], now_s: float
     ) -> None:
-        waiting = [vm for vm in due if vm.name not in orders and self._turns.is_open(vm.name)]
+        waiting = [vm for vm in due_vms if vm.name not in orders and self._turns.is_open(vm.name)]
         due_targets = frozenset(vm.target_id for vm in waiting)
         standings = [self._describe(vm, now_s, due_targets) for vm in waiting]
         others = self._find_others_down(wave)
