--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -32,7 +32,7 @@
 from comfreywind.scheduling.advice_keeper import AdviceKeeper
 from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.job_retention import RETENTION_MARGIN_S, JobRetention
-from comfreywind.scheduling.order_turns import OrderTurns
+from comfreywind.scheduling.order_reservations import OrderTurns
 from comfreywind.scheduling.orders import Order
 from comfreywind.scheduling.planner import Planner
 from comfreywind.scheduling.pool_keeper import PoolKeeper
--- a/tests/model/test_order_turns_model.py
+++ b/tests/model/test_order_turns_model.py
@@ -12,8 +12,8 @@
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.store_time import StoreTime
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling import order_turns
-from comfreywind.scheduling.order_turns import OrderTurns
+from comfreywind.scheduling import order_reservations
+from comfreywind.scheduling.order_reservations import OrderTurns
 from comfreywind.scheduling.term_keeper import HeldTerm
 from tests.helpers.manual_clock import ManualClock
 
