--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -32,7 +32,7 @@
 from comfreywind.scheduling.advice_keeper import AdviceKeeper
 from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.job_retention import RETENTION_MARGIN_S, JobRetention
-from comfreywind.scheduling.order_reservations import OrderTurns
+from comfreywind.scheduling.order_reservations import OrderReservations
 from comfreywind.scheduling.orders import Order
 from comfreywind.scheduling.planner import Planner
 from comfreywind.scheduling.pool_keeper import PoolKeeper
@@ -87,7 +87,7 @@
         self.board = Board(term.epoch)
         self._planner = Planner(self.board, metrics=metrics)
         self.journal = ProgressJournal(rows, self.board)
-        self._turns = OrderTurns(rows, term, settings.timings.order_turn_s, clock)
+        self._turns = OrderReservations(rows, term, settings.timings.order_turn_s, clock)
         self._links: dict[str, TargetLink] = {}
         self._nursery: trio.Nursery | None = None
         self._wake = trio.Event()
--- a/comfreywind/scheduling/order_reservations.py
+++ b/comfreywind/scheduling/order_reservations.py
@@ -32,7 +32,7 @@
 log = logging.getLogger('comfreywind.vms')
 
 
-class OrderTurns:
+class OrderReservations:
     """Stores which VMs are about to be ordered, and until when, before they are.
 
     Orders of two holders for one VM keep a distance of `turn_s`. A later holder leaves a VM in the row
--- a/comfreywind/scheduling/pool_keeper.py
+++ b/comfreywind/scheduling/pool_keeper.py
@@ -7,7 +7,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.scheduling.pool_size import VmMove
 from comfreywind.platform.vm_client import VmClient, VmOrderAnswer
-from comfreywind.scheduling.order_reservations import OrderTurns
+from comfreywind.scheduling.order_reservations import OrderReservations
 from comfreywind.scheduling.pool_sizer import PoolSizer
 from comfreywind.scheduling.rules_follower import RulesFollower
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
@@ -27,7 +27,7 @@
         self,
         term: HeldTerm,
         node: str,
-        turns: OrderTurns,
+        turns: OrderReservations,
         vm_client: VmClient,
         watch: VmWatch,
         rules: RulesFollower,
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -25,7 +25,7 @@
 from comfreywind.platform.wave_codec import encode_wave_state
 from comfreywind.platform.wire import PREFIX_WAVE, TABLE_STATUS
 from comfreywind.scheduling.board import Board
-from comfreywind.scheduling.order_reservations import OrderTurns
+from comfreywind.scheduling.order_reservations import OrderReservations
 from comfreywind.scheduling.orders import Order
 from comfreywind.scheduling.rules_follower import RulesFollower
 from comfreywind.scheduling.target_link import UNSEEN_LAPSE_S
@@ -54,7 +54,7 @@
         self,
         term: HeldTerm,
         node: str,
-        turns: OrderTurns,
+        turns: OrderReservations,
         rows: RowsClient,
         vm_client: VmClient,
         watch: VmWatch,
--- a/tests/model/test_order_turns_model.py
+++ b/tests/model/test_order_turns_model.py
@@ -13,7 +13,7 @@
 from comfreywind.platform.store_time import StoreTime
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling import order_reservations
-from comfreywind.scheduling.order_reservations import OrderTurns
+from comfreywind.scheduling.order_reservations import OrderReservations
 from comfreywind.scheduling.term_keeper import HeldTerm
 from tests.helpers.manual_clock import ManualClock
 
@@ -76,14 +76,14 @@
         store = Store(clock, generator)
         for epoch in range(1, HOLDERS + 1):
             term = HeldTerm(epoch, 1, clock.read_monotonic_s())
-            turns = OrderTurns(cast('RowsClient', store), term, TURN_S, clock)
+            turns = OrderReservations(cast('RowsClient', store), term, TURN_S, clock)
             await turns.load()
             await self._hold(turns, epoch, clock, generator)
             # A released term is taken at once, another one after the holder has stopped.
             clock.advance(generator.choice((0.02, 0.4, 2.0)))
 
     async def _hold(
-        self, turns: OrderTurns, epoch: int, clock: ManualClock, generator: random.Random
+        self, turns: OrderReservations, epoch: int, clock: ManualClock, generator: random.Random
     ) -> None:
         end_s = clock.read_monotonic_s() + generator.choice((0.3, 1, 6))
         while clock.read_monotonic_s() < end_s:
@@ -94,7 +94,7 @@
 
     def _send(
         self,
-        turns: OrderTurns,
+        turns: OrderReservations,
         epoch: int,
         vms: Collection[str],
         clock: ManualClock,
@@ -136,15 +136,15 @@
     assert await find_shortest_gap_s() >= TURN_S
 
 
-def _send_always(self: OrderTurns, vm: str) -> bool:
+def _send_always(self: OrderReservations, vm: str) -> bool:
     return True
 
 
-def _open_always(self: OrderTurns, vm: str) -> bool:
+def _open_always(self: OrderReservations, vm: str) -> bool:
     return True
 
 
-def _forget_at_once(self: OrderTurns) -> bool:
+def _forget_at_once(self: OrderReservations) -> bool:
     return True
 
 
@@ -156,7 +156,7 @@
     monkeypatch: pytest.MonkeyPatch, name: str, broken: Callable[..., bool]
 ) -> None:
     """Guards against a model that would not notice a protection which is missing."""
-    monkeypatch.setattr(OrderTurns, name, broken)
+    monkeypatch.setattr(OrderReservations, name, broken)
     assert await find_shortest_gap_s() < TURN_S
 
 
--- a/tests/scheduling/test_order_turns.py
+++ b/tests/scheduling/test_order_turns.py
@@ -10,7 +10,7 @@
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.store_time import StoreTime
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling.order_reservations import OrderTurns
+from comfreywind.scheduling.order_reservations import OrderReservations
 from comfreywind.scheduling.term_keeper import HeldTerm
 from tests.helpers.manual_clock import ManualClock
 
@@ -67,11 +67,11 @@
         self.row = OneRow(self.clock)
         self._epoch = 0
 
-    async def take_term(self) -> OrderTurns:
+    async def take_term(self) -> OrderReservations:
         """Return the turns of the next holder."""
         self._epoch += 1
         term = HeldTerm(self._epoch, 1, self.clock.read_monotonic_s())
-        turns = OrderTurns(cast('RowsClient', self.row), term, TURN_S, self.clock)
+        turns = OrderReservations(cast('RowsClient', self.row), term, TURN_S, self.clock)
         await turns.load()
         return turns
 
