--- a/comfreywind/platform/node_file.py
+++ b/comfreywind/platform/node_file.py
@@ -120,7 +120,7 @@
         notice_s=bounds.notice_ms / MS_PER_S,
         maintenance_s=bounds.maintenance_s,
         move_s=bounds.migrate_s,
-        order_turn_s=bounds.lease_ms / MS_PER_S,
+        order_reservation_s=bounds.lease_ms / MS_PER_S,
         remote_factor=bounds.remote_factor,
         ceiling_overrun=bounds.quota_overrun,
     )
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -87,7 +87,7 @@
         self.board = Board(term.epoch)
         self._planner = Planner(self.board, metrics=metrics)
         self.journal = ProgressJournal(rows, self.board)
-        self._turns = OrderReservations(rows, term, settings.timings.order_turn_s, clock)
+        self._turns = OrderReservations(rows, term, settings.timings.order_reservation_s, clock)
         self._links: dict[str, TargetLink] = {}
         self._nursery: trio.Nursery | None = None
         self._wake = trio.Event()
--- a/comfreywind/settings/node.py
+++ b/comfreywind/settings/node.py
@@ -33,7 +33,7 @@
     notice_s: float = 4.5
     maintenance_s: float = 2
     move_s: float = 1.5
-    order_turn_s: float = 3
+    order_reservation_s: float = 3
     remote_factor: float = 2
     ceiling_overrun: float = 0.1
 
