--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -87,7 +87,9 @@
         self.board = Board(term.epoch)
         self._planner = Planner(self.board, metrics=metrics)
         self.journal = ProgressJournal(rows, self.board)
-        self._turns = OrderReservations(rows, term, settings.timings.order_reservation_s, clock)
+        self._reservations = OrderReservations(
+            rows, term, settings.timings.order_reservation_s, clock
+        )
         self._links: dict[str, TargetLink] = {}
         self._nursery: trio.Nursery | None = None
         self._wake = trio.Event()
@@ -167,7 +169,7 @@
 
     def _may_order_vm(self, vm: str) -> bool:
         """Return whether an order for the VM may be sent at this moment."""
-        return self._may_order() and self._turns.may_send(vm)
+        return self._may_order() and self._reservations.may_send(vm)
 
     def _start(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
         if self._nursery is not None:
@@ -191,7 +193,7 @@
                 return
 
     async def _read_state(self) -> None:
-        await run_together((self._read_progress, self._roster.load, self._turns.load))
+        await run_together((self._read_progress, self._roster.load, self._reservations.load))
 
     async def _read_progress(self) -> None:
         for page in await self._rows.read_parts(TABLE_PROGRESS, PROGRESS_PARTS):
@@ -235,12 +237,12 @@
         return PoolKeeper(
             self._term,
             self._settings.name,
-            self._turns,
+            self._reservations,
             client,
             watch,
             self._rules,
             self._keeper,
-            PoolSizer(self.board, USUAL_POLICY, self._turns.is_open),
+            PoolSizer(self.board, USUAL_POLICY, self._reservations.is_open),
             self._clock,
         )
 
@@ -251,7 +253,7 @@
         return UpkeepKeeper(
             self._term,
             self._settings.name,
-            self._turns,
+            self._reservations,
             self._rows,
             client,
             watch,
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -67,7 +67,7 @@
         """Use the holder's parts; `publish` sends orders and has the holder plan again."""
         self._term = term
         self._node = node
-        self._turns = turns
+        self._reservations = turns
         self._rows = rows
         self._vm_client = vm_client
         self._watch = watch
@@ -185,7 +185,9 @@
     async def _empty_and_order(
         self, wave: UpkeepWave, due_vms: list[Vm], orders: dict[str, VmOrder], now_s: float
     ) -> None:
-        waiting = [vm for vm in due_vms if vm.name not in orders and self._turns.is_open(vm.name)]
+        waiting = [
+            vm for vm in due_vms if vm.name not in orders and self._reservations.is_open(vm.name)
+        ]
         due_targets = frozenset(vm.target_id for vm in waiting)
         standings = [self._describe(vm, now_s, due_targets) for vm in waiting]
         others = self._find_others_down(wave)
@@ -203,7 +205,7 @@
         emptying.sort(key=lambda vm: turns[vm.name])
         ready = [vm for vm in emptying if self._is_ready(vm, left_s)]
         named = repeated + [vm.name for vm in ready]
-        if not named or not await self._turns.announce(named):
+        if not named or not await self._reservations.announce(named):
             return
         for vm in ready:
             if len(orders.keys() | others) < wave.limit:
@@ -220,7 +222,7 @@
         return {
             name
             for name in wave.vms
-            if (name in listed and listed[name].in_upkeep) or not self._turns.is_open(name)
+            if (name in listed and listed[name].in_upkeep) or not self._reservations.is_open(name)
         }
 
     def _is_ready(self, vm: Vm, left_s: float) -> bool:
@@ -279,7 +281,7 @@
         return now_s - self._term.taken_s < UNSEEN_LAPSE_S
 
     async def _order(self, wave: UpkeepWave, vm: Vm, orders: dict[str, VmOrder]) -> None:
-        if not (self._keeper.is_valid() and self._turns.may_send(vm.name)):
+        if not (self._keeper.is_valid() and self._reservations.may_send(vm.name)):
             return
         now_s = self._clock.read_monotonic_s()
         record = self._board.targets.get(vm.target_id)
