--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -242,7 +242,7 @@
             watch,
             self._rules,
             self._keeper,
-            PoolSizer(self.board, USUAL_POLICY, self._reservations.is_open),
+            PoolSizer(self.board, USUAL_POLICY, self._reservations.may_reserve),
             self._clock,
         )
 
--- a/comfreywind/scheduling/order_reservations.py
+++ b/comfreywind/scheduling/order_reservations.py
@@ -59,7 +59,7 @@
         self._version = row.version
         self._earlier_ms = self._read_row(row)
 
-    def is_open(self, vm: str) -> bool:
+    def may_reserve(self, vm: str) -> bool:
         """Return whether no earlier holder can have ordered the VM within the turn."""
         if self._is_over():
             return True
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -36,10 +36,10 @@
     """Owns the moves that are under way; it has no sockets and no clock of its own."""
 
     def __init__(
-        self, board: Board, policy: PoolPolicy, is_open: Callable[[str], bool] = _always_open
+        self, board: Board, policy: PoolPolicy, may_reserve: Callable[[str], bool] = _always_open
     ) -> None:
-        """Size the pools of the board's targets; `is_open` tells which VMs may be ordered now."""
-        self._is_open = is_open
+        """Size the pools of the board's targets; `may_reserve` tells which VMs may be ordered now."""
+        self._is_open = may_reserve
         self._board = board
         self._policy = policy
         self._orders: dict[str, VmOrder] = {}
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -186,7 +186,9 @@
         self, wave: UpkeepWave, due_vms: list[Vm], orders: dict[str, VmOrder], now_s: float
     ) -> None:
         waiting = [
-            vm for vm in due_vms if vm.name not in orders and self._reservations.is_open(vm.name)
+            vm
+            for vm in due_vms
+            if vm.name not in orders and self._reservations.may_reserve(vm.name)
         ]
         due_targets = frozenset(vm.target_id for vm in waiting)
         standings = [self._describe(vm, now_s, due_targets) for vm in waiting]
@@ -222,7 +224,8 @@
         return {
             name
             for name in wave.vms
-            if (name in listed and listed[name].in_upkeep) or not self._reservations.is_open(name)
+            if (name in listed and listed[name].in_upkeep)
+            or not self._reservations.may_reserve(name)
         }
 
     def _is_ready(self, vm: Vm, left_s: float) -> bool:
--- a/tests/model/test_order_reservations_model.py
+++ b/tests/model/test_order_reservations_model.py
@@ -88,7 +88,7 @@
         end_s = clock.read_monotonic_s() + generator.choice((0.3, 1, 6))
         while clock.read_monotonic_s() < end_s:
             clock.advance(0.05)
-            chosen = [vm for vm in VMS if turns.is_open(vm)]
+            chosen = [vm for vm in VMS if turns.may_reserve(vm)]
             if chosen and await turns.announce(chosen):
                 self._send(turns, epoch, chosen, clock, generator, end_s)
 
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize(
     ('name', 'broken'),
-    [('may_send', _send_always), ('is_open', _open_always), ('_is_forgotten', _forget_at_once)],
+    [('may_send', _send_always), ('may_reserve', _open_always), ('_is_forgotten', _forget_at_once)],
 )
 async def test_protection_taken_out(
     monkeypatch: pytest.MonkeyPatch, name: str, broken: Callable[..., bool]
--- a/tests/scheduling/test_order_reservations.py
+++ b/tests/scheduling/test_order_reservations.py
@@ -84,13 +84,13 @@
     """
     rig = Rig()
     first = await rig.take_term()
-    assert first.is_open('a')
+    assert first.may_reserve('a')
     assert await first.announce(['a'])
     second = await rig.take_term()
-    assert not second.is_open('a')
-    assert second.is_open('b')
+    assert not second.may_reserve('a')
+    assert second.may_reserve('b')
     rig.clock.advance(TURN_S + ARRIVAL_S + 0.01)
-    assert second.is_open('a')
+    assert second.may_reserve('a')
 
 
 async def test_quick_changes() -> None:
@@ -101,7 +101,7 @@
     second = await rig.take_term()
     assert await second.announce(['b'])
     third = await rig.take_term()
-    assert not (third.is_open('a') or third.is_open('b'))
+    assert not (third.may_reserve('a') or third.may_reserve('b'))
 
 
 async def test_old_orders() -> None:
@@ -112,8 +112,8 @@
     rig.clock.advance(10)
     assert await first.announce(['b'])
     second = await rig.take_term()
-    assert second.is_open('a')
-    assert not second.is_open('b')
+    assert second.may_reserve('a')
+    assert not second.may_reserve('b')
 
 
 async def test_repeated_order() -> None:
@@ -151,9 +151,9 @@
     await rig.take_term()
     rig.row.payload = garbage
     second = await rig.take_term()
-    assert not second.is_open('a')
+    assert not second.may_reserve('a')
     rig.clock.advance(TURN_S + ARRIVAL_S + 0.01)
-    assert second.is_open('a')
+    assert second.may_reserve('a')
 
 
 async def test_turn_counts_from_the_order() -> None:
@@ -168,9 +168,9 @@
     rig.clock.advance(2.5)
     second = await rig.take_term()
     rig.clock.advance(SEND_S + TURN_S - 2.5)
-    assert not second.is_open('a')
+    assert not second.may_reserve('a')
     rig.clock.advance(ARRIVAL_S + 0.1)
-    assert second.is_open('a')
+    assert second.may_reserve('a')
 
 
 async def test_paused_after_announcement() -> None:
@@ -203,10 +203,10 @@
     rig.row.payload = msgpack.packb(['a'])
     await rig.take_term()
     turns = await rig.take_term()
-    assert not turns.is_open('a')
-    assert turns.is_open('b')
+    assert not turns.may_reserve('a')
+    assert turns.may_reserve('b')
     rig.clock.advance(TURN_S + ARRIVAL_S + 0.01)
-    assert turns.is_open('a')
+    assert turns.may_reserve('a')
 
 
 async def test_order_on_its_way_at_release() -> None:
@@ -219,4 +219,4 @@
     assert await first.announce(['a'])
     second = await rig.take_term()
     rig.clock.advance(TURN_S + ARRIVAL_S - 0.1)
-    assert not second.is_open('a')
+    assert not second.may_reserve('a')
--- a/tests/scheduling/test_pool_sizer.py
+++ b/tests/scheduling/test_pool_sizer.py
@@ -53,7 +53,7 @@
 def test_closed_vms_stay() -> None:
     """Guards against a move of a VM that an earlier holder may have ordered just before."""
     rig = BoardRig(targets=4)
-    sizer = PoolSizer(rig.board, POLICY, is_open=lambda vm: vm == 'vm3')
+    sizer = PoolSizer(rig.board, POLICY, may_reserve=lambda vm: vm == 'vm3')
     assert choose_later(sizer, rig) == [VmMove('vm3', 'standby')]
 
 
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_upkeep_rounds.py
@@ -107,7 +107,7 @@
         """Store the VMs."""
         return True
 
-    def is_open(self, vm: str) -> bool:
+    def may_reserve(self, vm: str) -> bool:
         """Tell whether no earlier holder has ordered the VM."""
         return vm not in self.unsure
 
