--- a/comfreywind/scheduling/order_reservations.py
+++ b/comfreywind/scheduling/order_reservations.py
@@ -71,7 +71,7 @@
         """Return whether an order for the VM is announced for this moment."""
         return self._clock.read_monotonic_s() <= self._send_until_s.get(vm, -math.inf)
 
-    async def announce(self, vms: Collection[str]) -> bool:
+    async def reserve(self, vms: Collection[str]) -> bool:
         """Store that the VMs are about to be ordered; return False when they must not be yet."""
         now_s = self._clock.read_monotonic_s()
         if all(self._send_until_s.get(vm, -math.inf) - now_s >= LEAST_WINDOW_S for vm in vms):
--- a/comfreywind/scheduling/pool_keeper.py
+++ b/comfreywind/scheduling/pool_keeper.py
@@ -74,7 +74,7 @@
         self._sizer.recall(now_s, now_ms)
 
     async def _order_all(self, moves: list[VmMove]) -> None:
-        if not await self._reservations.announce([move.vm for move in moves]):
+        if not await self._reservations.reserve([move.vm for move in moves]):
             return
         async with trio.open_nursery() as nursery:
             for move in moves:
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -207,7 +207,7 @@
         emptying.sort(key=lambda vm: turns[vm.name])
         ready = [vm for vm in emptying if self._is_ready(vm, left_s)]
         named = repeated + [vm.name for vm in ready]
-        if not named or not await self._reservations.announce(named):
+        if not named or not await self._reservations.reserve(named):
             return
         for vm in ready:
             if len(orders.keys() | others) < wave.limit:
--- a/tests/model/test_order_reservations_model.py
+++ b/tests/model/test_order_reservations_model.py
@@ -89,7 +89,7 @@
         while clock.read_monotonic_s() < end_s:
             clock.advance(0.05)
             chosen = [vm for vm in VMS if turns.may_reserve(vm)]
-            if chosen and await turns.announce(chosen):
+            if chosen and await turns.reserve(chosen):
                 self._send(turns, epoch, chosen, clock, generator, end_s)
 
     def _send(
--- a/tests/scheduling/test_order_reservations.py
+++ b/tests/scheduling/test_order_reservations.py
@@ -85,7 +85,7 @@
     rig = Rig()
     first = await rig.take_term()
     assert first.may_reserve('a')
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
     second = await rig.take_term()
     assert not second.may_reserve('a')
     assert second.may_reserve('b')
@@ -97,9 +97,9 @@
     """Guards against a third holder that orders a VM which the first one has just ordered."""
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
     second = await rig.take_term()
-    assert await second.announce(['b'])
+    assert await second.reserve(['b'])
     third = await rig.take_term()
     assert not (third.may_reserve('a') or third.may_reserve('b'))
 
@@ -108,9 +108,9 @@
     """Guards against a row that names more and more VMs."""
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
     rig.clock.advance(10)
-    assert await first.announce(['b'])
+    assert await first.reserve(['b'])
     second = await rig.take_term()
     assert second.may_reserve('a')
     assert not second.may_reserve('b')
@@ -120,8 +120,8 @@
     """Guards against a write for each repetition of an order."""
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
+    assert await first.reserve(['a'])
     assert rig.row.writes == 1
 
 
@@ -130,9 +130,9 @@
     rig = Rig()
     first = await rig.take_term()
     rig.row.away = True
-    assert not await first.announce(['a'])
+    assert not await first.reserve(['a'])
     rig.row.away = False
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
 
 
 async def test_replaced_holder() -> None:
@@ -140,8 +140,8 @@
     rig = Rig()
     first = await rig.take_term()
     second = await rig.take_term()
-    assert await second.announce(['a'])
-    assert not await first.announce(['b'])
+    assert await second.reserve(['a'])
+    assert not await first.reserve(['b'])
 
 
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x01'])
@@ -164,7 +164,7 @@
     """
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
     rig.clock.advance(2.5)
     second = await rig.take_term()
     rig.clock.advance(SEND_S + TURN_S - 2.5)
@@ -177,12 +177,12 @@
     """Guards against an order sent so late that a successor has ordered the VM before."""
     rig = Rig()
     turns = await rig.take_term()
-    assert await turns.announce(['a'])
+    assert await turns.reserve(['a'])
     assert turns.may_send('a')
     assert not turns.may_send('b')
     rig.clock.advance(SEND_S + 0.1)
     assert not turns.may_send('a')
-    assert await turns.announce(['a'])
+    assert await turns.reserve(['a'])
     assert turns.may_send('a')
     assert rig.row.writes == 2
 
@@ -192,8 +192,8 @@
     rig = Rig()
     rig.row.commit_s = 1.0
     turns = await rig.take_term()
-    await turns.announce(['a'])
-    await turns.announce(['a'])
+    await turns.reserve(['a'])
+    await turns.reserve(['a'])
     assert turns.may_send('a')
 
 
@@ -216,7 +216,7 @@
     """
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
     second = await rig.take_term()
     rig.clock.advance(TURN_S + ARRIVAL_S - 0.1)
     assert not second.may_reserve('a')
--- a/tests/scheduling/test_pool_keeper.py
+++ b/tests/scheduling/test_pool_keeper.py
@@ -48,7 +48,7 @@
         """Tell that the term is held."""
         return True
 
-    async def announce(self, vms: list[str]) -> bool:
+    async def reserve(self, vms: list[str]) -> bool:
         """Take the VM from the list."""
         self.vms = {}
         return True
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_upkeep_rounds.py
@@ -103,7 +103,7 @@
         """Tell that each order is announced."""
         return True
 
-    async def announce(self, vms: list[str]) -> bool:
+    async def reserve(self, vms: list[str]) -> bool:
         """Store the VMs."""
         return True
 
