--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.scheduling.demand_trend import DemandTrend
 from comfreywind.decisions.scheduling.past_load import PastWork, list_past_work, sample_load
 from comfreywind.decisions.scheduling.pool_policy import PoolPolicy
-from comfreywind.decisions.scheduling.surge import SurgeMemory
+from comfreywind.decisions.scheduling.burst import SurgeMemory
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.resources import Resources
 from comfreywind.scheduling.board import Board
--- a/tests/scheduling/test_surge.py
+++ b/tests/scheduling/test_surge.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from comfreywind.decisions.scheduling.surge import SurgeMemory
+from comfreywind.decisions.scheduling.burst import SurgeMemory
 
 # Loads in VMs at steps of half a second: a surge to 20, then quiet for two seconds.
 SURGE = [2, 6, 12, 20, 18, 8, 1, 0, 0, 0, 0]
