--- a/comfreywind/decisions/scheduling/burst.py
+++ b/comfreywind/decisions/scheduling/burst.py
@@ -21,7 +21,7 @@
     last_loud_s: float = 0
 
 
-class SurgeMemory:
+class BurstMemory:
     """Follows the load of one pool and tells what the surge under way will reach.
 
     The last surge that is over is the model for the one under way, as long as it began less than
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.scheduling.demand_trend import DemandTrend
 from comfreywind.decisions.scheduling.past_load import PastWork, list_past_work, sample_load
 from comfreywind.decisions.scheduling.pool_policy import PoolPolicy
-from comfreywind.decisions.scheduling.burst import SurgeMemory
+from comfreywind.decisions.scheduling.burst import BurstMemory
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.resources import Resources
 from comfreywind.scheduling.board import Board
@@ -25,7 +25,7 @@
         """Watch the jobs of the board; those that are there already belong to `recall`."""
         self._board = board
         self._policy = policy
-        self._surges: dict[str, SurgeMemory] = {}
+        self._surges: dict[str, BurstMemory] = {}
         self._trends: dict[str, DemandTrend] = {}
         self._seen_jobs_count = board.added_jobs_count
 
@@ -69,8 +69,8 @@
         forecast_vms = 0 if trend is None else trend.forecast_vms(lead_s)
         return max(remembered_vms, min(forecast_vms, self._policy.growth_limit * load_vms))
 
-    def _find_surges(self, pool: str) -> SurgeMemory:
-        return self._surges.setdefault(pool, SurgeMemory(self._policy.surge_memory_s))
+    def _find_surges(self, pool: str) -> BurstMemory:
+        return self._surges.setdefault(pool, BurstMemory(self._policy.surge_memory_s))
 
     def _find_vm_sizes(
         self, works: Mapping[str, PoolWork], pools: Iterable[str]
--- a/tests/scheduling/test_surge.py
+++ b/tests/scheduling/test_surge.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from comfreywind.decisions.scheduling.burst import SurgeMemory
+from comfreywind.decisions.scheduling.burst import BurstMemory
 
 # Loads in VMs at steps of half a second: a surge to 20, then quiet for two seconds.
 SURGE = [2, 6, 12, 20, 18, 8, 1, 0, 0, 0, 0]
 STEP_S = 0.5
 
 
-def follow(memory: SurgeMemory, loads: list[float], start_s: float = 0) -> list[float]:
+def follow(memory: BurstMemory, loads: list[float], start_s: float = 0) -> list[float]:
     """Return what is expected after each of the loads."""
     return [
         memory.note_load(load_vms, start_s + number * STEP_S)
@@ -32,12 +32,12 @@
     memory_s: float, second_start_s: float, second: list[float], expected: list[float]
 ) -> None:
     """Guards against a pool that learns nothing from the turn before, or never forgets it."""
-    memory = SurgeMemory(memory_s)
+    memory = BurstMemory(memory_s)
     assert not any(follow(memory, SURGE))
     assert follow(memory, second, second_start_s) == expected
 
 
 def test_steady_load() -> None:
     """Guards against a steady load that counts as one surge after another."""
-    memory = SurgeMemory(60)
+    memory = BurstMemory(60)
     assert not any(follow(memory, [10, 11, 9, 12] * 40))
