--- a/comfreywind/decisions/scheduling/burst.py
+++ b/comfreywind/decisions/scheduling/burst.py
@@ -34,7 +34,7 @@
         self._model: Surge | None = None
         self._current: Surge | None = None
 
-    def note_load(self, load_vms: float, now_s: float) -> float:
+    def record_load(self, load_vms: float, now_s: float) -> float:
         """Take in the present load and return the load to expect, 0 when nothing is known."""
         self._follow(load_vms, now_s)
         model, current = self._model, self._current
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -42,7 +42,9 @@
             size = sizes[pool]
             surges = self._find_surges(pool)
             for at_ms, load in sample_load(works, from_ms, now_ms, RECALL_INTERVAL_MS):
-                surges.note_load(load.find_largest_part(size), now_s - (now_ms - at_ms) / MS_PER_S)
+                surges.record_load(
+                    load.find_largest_part(size), now_s - (now_ms - at_ms) / MS_PER_S
+                )
 
     def note_jobs(self, works: Mapping[str, PoolWork], now_s: float) -> None:
         """Take in the jobs that have come since the last look, with the pools as they are now."""
@@ -64,7 +66,7 @@
 
         Returns 0 when nothing beyond the present load is to be expected.
         """
-        remembered_vms = self._find_surges(pool).note_load(load_vms, now_s)
+        remembered_vms = self._find_surges(pool).record_load(load_vms, now_s)
         trend = self._trends.get(pool)
         forecast_vms = 0 if trend is None else trend.forecast_vms(lead_s)
         return max(remembered_vms, min(forecast_vms, self._policy.growth_limit * load_vms))
--- a/tests/scheduling/test_surge.py
+++ b/tests/scheduling/test_surge.py
@@ -12,7 +12,7 @@
 def follow(memory: BurstMemory, loads: list[float], start_s: float = 0) -> list[float]:
     """Return what is expected after each of the loads."""
     return [
-        memory.note_load(load_vms, start_s + number * STEP_S)
+        memory.record_load(load_vms, start_s + number * STEP_S)
         for number, load_vms in enumerate(loads)
     ]
 
