--- a/comfreywind/decisions/scheduling/demand_trend.py
+++ b/comfreywind/decisions/scheduling/demand_trend.py
@@ -31,7 +31,7 @@
         """Start without any demand."""
         self._looks: deque[Look] = deque(maxlen=MEMORY_LOOKS + WINDOW_LOOKS + 1)
 
-    def note(self, at_s: float, work_vm_s: Iterable[float]) -> None:
+    def add_sample(self, at_s: float, work_vm_s: Iterable[float]) -> None:
         """Take in the work that came since the last look, which may be none."""
         self._looks.append(Look(at_s, tuple(work_vm_s)))
 
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -59,7 +59,7 @@
         for pool, records in records_by_pool.items():
             size = sizes[pool]
             trend = self._trends.setdefault(pool, DemandTrend())
-            trend.note(now_s, (_measure_work(record.job, size) for record in records))
+            trend.add_sample(now_s, (_measure_work(record.job, size) for record in records))
 
     def expect_vms(self, pool: str, load_vms: float, now_s: float, lead_s: float) -> float:
         """Take in the present load and return the load to expect after the lead time.
--- a/tests/scheduling/test_demand_trend.py
+++ b/tests/scheduling/test_demand_trend.py
@@ -19,7 +19,7 @@
 def note_steps(trend: DemandTrend, work_vm_s: list[float], jobs: int = 20) -> None:
     """Hand in so much work in each interval, dealt over some jobs."""
     for number, work in enumerate(work_vm_s):
-        trend.note(number * INTERVAL_S, [work / jobs] * jobs)
+        trend.add_sample(number * INTERVAL_S, [work / jobs] * jobs)
 
 
 def test_ramp_is_foreseen() -> None:
@@ -51,7 +51,7 @@
     """Guards against a pool that is sized for a demand of which one job is all there is."""
     trend = DemandTrend()
     for number in range(9):
-        trend.note(number * INTERVAL_S, [50] if number == 8 else [])
+        trend.add_sample(number * INTERVAL_S, [50] if number == 8 else [])
     assert trend.forecast_vms(LEAD_S) == pytest.approx(0)
 
 
@@ -62,7 +62,7 @@
     forecasts_vms = []
     for number in range(2000):
         jobs_count = sum(generator.random() < 0.2 for _ in range(20))
-        trend.note(number * INTERVAL_S, [generator.expovariate(1) for _ in range(jobs_count)])
+        trend.add_sample(number * INTERVAL_S, [generator.expovariate(1) for _ in range(jobs_count)])
         forecasts_vms.append(trend.forecast_vms(LEAD_S))
     assert sum(vms > 0 for vms in forecasts_vms) / len(forecasts_vms) < 0.03
 
