--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -46,7 +46,7 @@
                     load.find_largest_part(size), now_s - (now_ms - at_ms) / MS_PER_S
                 )
 
-    def note_jobs(self, works: Mapping[str, PoolWork], now_s: float) -> None:
+    def record_new_jobs(self, works: Mapping[str, PoolWork], now_s: float) -> None:
         """Take in the jobs that have come since the last look, with the pools as they are now."""
         jobs = self._board.jobs
         added_count = self._board.added_jobs_count
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -56,7 +56,7 @@
         """Return the moves to order now, after a look at those that are under way."""
         self._settle(vms, now_s)
         works = self._group_by_pool(vms)
-        self._demand.note_jobs(works, now_s)
+        self._demand.record_new_jobs(works, now_s)
         known = tuple(pools)
         even_share = len(vms) / len(known) if known else 0
         loads = [
