--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -61,7 +61,7 @@
             trend = self._trends.setdefault(pool, DemandTrend())
             trend.add_sample(now_s, (_measure_work(record.job, size) for record in records))
 
-    def expect_vms(self, pool: str, load_vms: float, now_s: float, lead_s: float) -> float:
+    def forecast_load_vms(self, pool: str, load_vms: float, now_s: float, lead_s: float) -> float:
         """Take in the present load and return the load to expect after the lead time.
 
         Returns 0 when nothing beyond the present load is to be expected.
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -132,7 +132,7 @@
             idle_vms=tuple(vm.name for vm in work.vms if self._is_idle(vm, pool.standby)),
             even_share_vms=even_share_vms,
             vms_for_lasting=work.count_vms_for_lasting(),
-            expected_vms=self._demand.expect_vms(pool.name, load_vms, now_s, self._move_s),
+            expected_vms=self._demand.forecast_load_vms(pool.name, load_vms, now_s, self._move_s),
         )
         if pool.standby or find_surplus(load, self._policy) <= 0:
             self._surplus_since_s.pop(pool.name, None)
