--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -29,7 +29,7 @@
         self._trends: dict[str, DemandTrend] = {}
         self._seen_jobs_count = board.added_jobs_count
 
-    def recall(self, now_s: float, now_ms: float) -> None:
+    def replay_past_load(self, now_s: float, now_ms: float) -> None:
         """Learn from the jobs on the board which turns of demand earlier holders have met."""
         from_ms = now_ms - self._policy.surge_memory_s * MS_PER_S
         pasts: dict[str, list[PastWork]] = {}
--- a/comfreywind/scheduling/pool_keeper.py
+++ b/comfreywind/scheduling/pool_keeper.py
@@ -71,7 +71,7 @@
     def _recall(self, now_s: float) -> None:
         self._recalled = True
         now_ms = self._clock.read_utc().timestamp() * MS_PER_S
-        self._sizer.recall(now_s, now_ms)
+        self._sizer.replay_past_load(now_s, now_ms)
 
     async def _order_all(self, moves: list[VmMove]) -> None:
         if not await self._reservations.reserve([move.vm for move in moves]):
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -48,9 +48,9 @@
         self._demand = DemandWatch(board, policy)
         self._move_s = USUAL_MOVE_S
 
-    def recall(self, now_s: float, now_ms: float) -> None:
+    def replay_past_load(self, now_s: float, now_ms: float) -> None:
         """Learn from the jobs on the board which turns of demand earlier holders have met."""
-        self._demand.recall(now_s, now_ms)
+        self._demand.replay_past_load(now_s, now_ms)
 
     def choose(self, pools: Iterable[Pool], vms: Mapping[str, Vm], now_s: float) -> list[VmMove]:
         """Return the moves to order now, after a look at those that are under way."""
--- a/tests/scheduling/test_bursts_across_holders.py
+++ b/tests/scheduling/test_bursts_across_holders.py
@@ -54,7 +54,7 @@
     rig = BoardRig(targets=4)
     add_ended_turn(rig, ago_ms)
     sizer = PoolSizer(rig.board, POLICY)
-    sizer.recall(rig.now_s, NOW_MS)
+    sizer.replay_past_load(rig.now_s, NOW_MS)
     sizer.choose(POOLS, make_vms(), rig.now_s)
     rig.now_s += 1
     for number in range(8):
@@ -69,7 +69,7 @@
     rig = BoardRig(targets=4)
     add_ended_turn(rig, 100)
     sizer = PoolSizer(rig.board, POLICY)
-    sizer.recall(rig.now_s, NOW_MS)
+    sizer.replay_past_load(rig.now_s, NOW_MS)
     moves = sizer.choose(POOLS, make_vms(), rig.now_s)
     assert [move for move in moves if move.pool == POOL] == []
 
--- a/tests/scheduling/test_pool_keeper.py
+++ b/tests/scheduling/test_pool_keeper.py
@@ -25,7 +25,7 @@
         self.rules = JobRules(1)
         self.moved: list[str] = []
 
-    def recall(self, *_: Any) -> None:
+    def replay_past_load(self, *_: Any) -> None:
         """Know of no earlier turns."""
 
     def choose(self, *_: Any) -> list[VmMove]:
--- a/tests/scheduling/test_pools_at_size.py
+++ b/tests/scheduling/test_pools_at_size.py
@@ -66,5 +66,5 @@
         return past_load.list_past_work(job)
 
     monkeypatch.setattr(demand_watch, 'list_past_work', note_job)
-    PoolSizer(rig.board, PoolPolicy()).recall(rig.now_s, NOW_MS)
+    PoolSizer(rig.board, PoolPolicy()).replay_past_load(rig.now_s, NOW_MS)
     assert recalled == [NOW_MS - 1000]
