--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from comfreywind.decisions.scheduling.placement import TargetRoom, choose_rack, find_request
-from comfreywind.decisions.scheduling.room_index import NO_COUNTS, RoomIndex
+from comfreywind.decisions.scheduling.capacity_index import NO_COUNTS, RoomIndex
 from comfreywind.decisions.scheduling.work_order import FindTurn, JobStanding, find_turn
 from comfreywind.jobs.resources import NO_RESOURCES, Resources
 from comfreywind.jobs.step import Step
--- a/tests/scheduling/test_room_index.py
+++ b/tests/scheduling/test_room_index.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from comfreywind.decisions.scheduling import room_index
+from comfreywind.decisions.scheduling import capacity_index
 from comfreywind.decisions.scheduling.placement import TargetRoom, find_request
-from comfreywind.decisions.scheduling.room_index import RoomIndex
+from comfreywind.decisions.scheduling.capacity_index import RoomIndex
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
 from comfreywind.scheduling.orders import StartOrder
