--- a/comfreywind/decisions/scheduling/capacity_index.py
+++ b/comfreywind/decisions/scheduling/capacity_index.py
@@ -17,7 +17,7 @@
 WORST_RANK: Rank = (True, True, math.inf, True, True)
 
 
-class RoomIndex:
+class CapacityIndex:
     """Targets that may take tasks, in the order of their free processor time."""
 
     def __init__(self, rooms: Iterable[TargetRoom]) -> None:
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from comfreywind.decisions.scheduling.placement import TargetRoom, choose_rack, find_request
-from comfreywind.decisions.scheduling.capacity_index import NO_COUNTS, RoomIndex
+from comfreywind.decisions.scheduling.capacity_index import NO_COUNTS, CapacityIndex
 from comfreywind.decisions.scheduling.work_order import FindTurn, JobStanding, find_turn
 from comfreywind.jobs.resources import NO_RESOURCES, Resources
 from comfreywind.jobs.step import Step
@@ -44,7 +44,7 @@
         self._advice: dict[tuple[str, int, int], Advice] = {}
         self._questions: list[AdviceQuestion] = []
         self._refused: list[Resources] = []
-        self._rooms = RoomIndex(())
+        self._rooms = CapacityIndex(())
         self._now_s = float('-inf')
 
     def plan(self, now_s: float, now_ms: float) -> list[Order]:
@@ -97,7 +97,7 @@
     def _plan_pool(
         self, targets: list[TargetRecord], records: list[JobRecord], now_ms: float
     ) -> list[Order]:
-        self._rooms = RoomIndex(map(_describe_room, targets))
+        self._rooms = CapacityIndex(map(_describe_room, targets))
         orders: list[Order] = []
         records.sort(key=lambda record: self._order_work(self._describe(record), now_ms))
         self._refused.clear()
--- a/tests/scheduling/test_room_index.py
+++ b/tests/scheduling/test_room_index.py
@@ -12,7 +12,7 @@
 
 from comfreywind.decisions.scheduling import capacity_index
 from comfreywind.decisions.scheduling.placement import TargetRoom, find_request
-from comfreywind.decisions.scheduling.capacity_index import RoomIndex
+from comfreywind.decisions.scheduling.capacity_index import CapacityIndex
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
 from comfreywind.scheduling.orders import StartOrder
@@ -88,7 +88,7 @@
     allowed: frozenset[str] | None,
 ) -> None:
     """Guards against an index that is fast and places tasks elsewhere than the rule says."""
-    index = RoomIndex([])
+    index = CapacityIndex([])
     for room in rooms:
         index.replace(TargetRoom(room.target_id, Resources(1, 1), frozenset()))
     for room in rooms:
@@ -99,7 +99,7 @@
 
 def test_removed() -> None:
     """Guards against starts on a target that takes none any more."""
-    index = RoomIndex([TargetRoom('t0', Resources(4, 4), frozenset())])
+    index = CapacityIndex([TargetRoom('t0', Resources(4, 4), frozenset())])
     index.remove('t0')
     index.remove('t0')
     assert index.choose(Step(1, Resources(1, 1))) is None
