--- a/comfreywind/decisions/scheduling/capacity_index.py
+++ b/comfreywind/decisions/scheduling/capacity_index.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Iterable, Iterator, Mapping
 from itertools import islice
 
-from comfreywind.decisions.scheduling.placement import TargetRoom, find_request
+from comfreywind.decisions.scheduling.placement import TargetCapacity, find_request
 from comfreywind.jobs.step import Step
 
 Rank = tuple[bool, bool, float, bool, bool]
@@ -20,16 +20,16 @@
 class CapacityIndex:
     """Targets that may take tasks, in the order of their free processor time."""
 
-    def __init__(self, rooms: Iterable[TargetRoom]) -> None:
+    def __init__(self, rooms: Iterable[TargetCapacity]) -> None:
         """Index the rooms; each target has one."""
         self._rooms = {room.target_id: room for room in rooms}
         self._order = sorted(map(_find_place, self._rooms.values()))
 
-    def __iter__(self) -> Iterator[TargetRoom]:
+    def __iter__(self) -> Iterator[TargetCapacity]:
         """Return the rooms in no particular order."""
         return iter(self._rooms.values())
 
-    def replace(self, room: TargetRoom) -> None:
+    def replace(self, room: TargetCapacity) -> None:
         """Take in what is free on a target now."""
         self.remove(room.target_id)
         self._rooms[room.target_id] = room
@@ -47,7 +47,7 @@
         avoided: Collection[str] = NO_TARGETS,
         same_step: Mapping[str, int] = NO_COUNTS,
         allowed: Collection[str] | None = None,
-    ) -> TargetRoom | None:
+    ) -> TargetCapacity | None:
         """Return the target for one task of the step, or None when none fits.
 
         A lasting task keeps away from VMs that are due for upkeep, where it would soon end again.
@@ -59,7 +59,7 @@
         `avoided` are targets on which the task has failed, `same_step` counts the tasks of the step
         by target, and `allowed` are the targets that may be chosen, all of them when it is None.
         """
-        best: TargetRoom | None = None
+        best: TargetCapacity | None = None
         best_rank = WORST_RANK
         for room in self._list_fitting(step, same_step, allowed):
             count = same_step.get(room.target_id, 0)
@@ -72,7 +72,7 @@
 
     def _list_fitting(
         self, step: Step, same_step: Mapping[str, int], allowed: Collection[str] | None
-    ) -> Iterator[TargetRoom]:
+    ) -> Iterator[TargetCapacity]:
         """Return the targets that can run a task of the step, those with the least room first."""
         request = find_request(step)
         # The places of all targets with enough free processor time sort after this one.
@@ -85,17 +85,17 @@
                 yield room
 
 
-def _find_place(room: TargetRoom) -> tuple[int, str]:
+def _find_place(room: TargetCapacity) -> tuple[int, str]:
     return (room.free.cpu_millicores, room.target_id)
 
 
-def _may_run(step: Step, same_step: int, room: TargetRoom) -> bool:
+def _may_run(step: Step, same_step: int, room: TargetCapacity) -> bool:
     if step.required_label and step.required_label not in room.labels:
         return False
     return not (step.target_limit and same_step >= step.target_limit)
 
 
-def _find_rank(step: Step, avoided: bool, same_step: int, room: TargetRoom) -> Rank:
+def _find_rank(step: Step, avoided: bool, same_step: int, room: TargetCapacity) -> Rank:
     remote = bool(step.preferred_rack) and step.preferred_rack not in room.labels
     crowd = same_step if step.unavailable_limit else 0
     return (avoided, step.lasting and room.due, crowd, step.filler and room.serving, remote)
--- a/comfreywind/decisions/scheduling/placement.py
+++ b/comfreywind/decisions/scheduling/placement.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TargetRoom:
+class TargetCapacity:
     """A target that may take a task: what is free on it, and whether tasks there serve users.
 
     `due` tells that its VM goes down for upkeep soon.
@@ -28,7 +28,7 @@
     return Resources(0, step.request.memory_mb, step.request.accelerators)
 
 
-def choose_rack(step: Step, rooms: Iterable[TargetRoom]) -> str | None:
+def choose_rack(step: Step, rooms: Iterable[TargetCapacity]) -> str | None:
     """Return a label whose targets have room for all tasks of the step, the scarcest that has.
 
     A rack is one of the labels of a target. Without such a label the tasks may go anywhere.
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from functools import partial
 
-from comfreywind.decisions.scheduling.placement import TargetRoom, choose_rack, find_request
+from comfreywind.decisions.scheduling.placement import TargetCapacity, choose_rack, find_request
 from comfreywind.decisions.scheduling.capacity_index import NO_COUNTS, CapacityIndex
 from comfreywind.decisions.scheduling.work_order import FindTurn, JobStanding, find_turn
 from comfreywind.jobs.resources import NO_RESOURCES, Resources
@@ -310,8 +310,8 @@
         return counts
 
 
-def _describe_room(target: TargetRecord) -> TargetRoom:
-    return TargetRoom(
+def _describe_room(target: TargetRecord) -> TargetCapacity:
+    return TargetCapacity(
         target.entry.target_id,
         target.free,
         target.entry.labels,
--- a/tests/scheduling/test_room_index.py
+++ b/tests/scheduling/test_room_index.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from comfreywind.decisions.scheduling import capacity_index
-from comfreywind.decisions.scheduling.placement import TargetRoom, find_request
+from comfreywind.decisions.scheduling.placement import TargetCapacity, find_request
 from comfreywind.decisions.scheduling.capacity_index import CapacityIndex
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
@@ -23,7 +23,7 @@
 
 ROOMS = st.lists(
     st.builds(
-        TargetRoom,
+        TargetCapacity,
         st.sampled_from([f't{number}' for number in range(12)]),
         st.builds(Resources, st.integers(0, 6), st.integers(0, 6), st.integers(0, 1)),
         st.frozensets(st.sampled_from(['r1', 'r2', 'big']), max_size=2),
@@ -49,7 +49,7 @@
 
 def choose_by_scan(
     step: Step,
-    rooms: list[TargetRoom],
+    rooms: list[TargetCapacity],
     avoided: frozenset[str],
     same_step: dict[str, int],
     allowed: frozenset[str] | None,
@@ -81,7 +81,7 @@
 @settings(derandomize=True, max_examples=500, deadline=None)
 @given(ROOMS, STEPS, NAMES, COUNTS, st.none() | NAMES)
 def test_same_choice_as_scan(
-    rooms: list[TargetRoom],
+    rooms: list[TargetCapacity],
     step: Step,
     avoided: frozenset[str],
     same_step: dict[str, int],
@@ -90,7 +90,7 @@
     """Guards against an index that is fast and places tasks elsewhere than the rule says."""
     index = CapacityIndex([])
     for room in rooms:
-        index.replace(TargetRoom(room.target_id, Resources(1, 1), frozenset()))
+        index.replace(TargetCapacity(room.target_id, Resources(1, 1), frozenset()))
     for room in rooms:
         index.replace(room)
     chosen = index.choose(step, avoided, same_step, allowed)
@@ -99,7 +99,7 @@
 
 def test_removed() -> None:
     """Guards against starts on a target that takes none any more."""
-    index = CapacityIndex([TargetRoom('t0', Resources(4, 4), frozenset())])
+    index = CapacityIndex([TargetCapacity('t0', Resources(4, 4), frozenset())])
     index.remove('t0')
     index.remove('t0')
     assert index.choose(Step(1, Resources(1, 1))) is None
