--- a/comfreywind/decisions/scheduling/capacity_index.py
+++ b/comfreywind/decisions/scheduling/capacity_index.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Iterable, Iterator, Mapping
 from itertools import islice
 
-from comfreywind.decisions.scheduling.placement import TargetCapacity, find_request
+from comfreywind.decisions.scheduling.placement import TargetCapacity, compute_effective_request
 from comfreywind.jobs.step import Step
 
 Rank = tuple[bool, bool, float, bool, bool]
@@ -74,7 +74,7 @@
         self, step: Step, same_step: Mapping[str, int], allowed: Collection[str] | None
     ) -> Iterator[TargetCapacity]:
         """Return the targets that can run a task of the step, those with the least room first."""
-        request = find_request(step)
+        request = compute_effective_request(step)
         # The places of all targets with enough free processor time sort after this one.
         start = bisect_left(self._order, (request.cpu_millicores, ''))
         for _, target_id in islice(self._order, start, None):
--- a/comfreywind/decisions/scheduling/past_load.py
+++ b/comfreywind/decisions/scheduling/past_load.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from comfreywind.decisions.scheduling.placement import find_request
+from comfreywind.decisions.scheduling.placement import compute_effective_request
 from comfreywind.decisions.scheduling.work_order import estimate_task_ms
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.resources import NO_RESOURCES, Resources
@@ -34,7 +34,7 @@
     works: list[PastWork] = []
     for step in job.steps:
         start_ms = max((works[earlier].end_ms for earlier in step.after), default=job.accepted_ms)
-        request = find_request(step)
+        request = compute_effective_request(step)
         total = Resources(
             request.cpu_millicores * step.task_count,
             request.memory_mb * step.task_count,
--- a/comfreywind/decisions/scheduling/placement.py
+++ b/comfreywind/decisions/scheduling/placement.py
@@ -21,7 +21,7 @@
     due: bool = False
 
 
-def find_request(step: Step) -> Resources:
+def compute_effective_request(step: Step) -> Resources:
     """Return what a task takes from the room of a target: a filler takes no processor time."""
     if not step.filler:
         return step.request
@@ -34,7 +34,7 @@
     A rack is one of the labels of a target. Without such a label the tasks may go anywhere.
     """
     slots_by_label: dict[str, int] = {}
-    request = find_request(step)
+    request = compute_effective_request(step)
     for room in rooms:
         for label in room.labels:
             slots = count_slots(request, room.free)
--- a/comfreywind/scheduling/board.py
+++ b/comfreywind/scheduling/board.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from comfreywind.decisions.scheduling.pace import choose_pace
-from comfreywind.decisions.scheduling.placement import find_request
+from comfreywind.decisions.scheduling.placement import compute_effective_request
 from comfreywind.decisions.scheduling.upkeep import StepHealth
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.job_rules import JobRules
@@ -557,7 +557,7 @@
         run_id,
         target.entry.target_id,
         team,
-        find_request(step),
+        compute_effective_request(step),
         step.request,
         RunState.RUNNING,
         now_s,
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -4,7 +4,11 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from functools import partial
 
-from comfreywind.decisions.scheduling.placement import TargetCapacity, choose_rack, find_request
+from comfreywind.decisions.scheduling.placement import (
+    TargetCapacity,
+    choose_rack,
+    compute_effective_request,
+)
 from comfreywind.decisions.scheduling.capacity_index import NO_COUNTS, CapacityIndex
 from comfreywind.decisions.scheduling.work_order import FindTurn, JobStanding, find_turn
 from comfreywind.jobs.resources import NO_RESOURCES, Resources
@@ -220,14 +224,14 @@
 
     def _is_refused(self, step: Step) -> bool:
         """Return whether this plan has found no room for a request that is not larger."""
-        request = find_request(step)
+        request = compute_effective_request(step)
         return any(refused.fits(request) for refused in self._refused)
 
     def _note_refused(self, step: Step, queue_is_advised: bool) -> None:
         """Remember a request without room, unless it was refused for another reason."""
         narrowed = step.required_label or step.target_limit or step.same_rack
         if not narrowed and not queue_is_advised:
-            self._refused.append(find_request(step))
+            self._refused.append(compute_effective_request(step))
 
     def _note_room(self, target_id: str) -> None:
         """Take in that a target has more or less room, or takes no further task."""
@@ -250,7 +254,7 @@
             run_id,
             target_id,
             record.job.team,
-            find_request(step),
+            compute_effective_request(step),
             step.request,
             RunState.STARTING,
             self._now_s,
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass, field
 
-from comfreywind.decisions.scheduling.placement import count_slots, find_request
+from comfreywind.decisions.scheduling.placement import count_slots, compute_effective_request
 from comfreywind.jobs.resources import Resources, sum_resources
 from comfreywind.jobs.vm import Vm
 from comfreywind.scheduling.board import Board
@@ -28,7 +28,7 @@
         capacity = sum_resources(target.entry.capacity for target in self.targets)
         running = sum_resources(target.used for target in self.targets)
         waiting = sum_resources(
-            find_request(record.job.steps[key.step])
+            compute_effective_request(record.job.steps[key.step])
             for record in self.waiting
             for key in record.waiting
         )
@@ -45,7 +45,7 @@
             if not record.job.lasting:
                 continue
             step = record.job.steps[next(iter(record.waiting)).step]
-            request = find_request(step)
+            request = compute_effective_request(step)
             fitting = max(
                 (count_slots(request, each.entry.capacity) for each in self.targets), default=1
             )
--- a/tests/scheduling/test_capacity_index.py
+++ b/tests/scheduling/test_capacity_index.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from comfreywind.decisions.scheduling import capacity_index
-from comfreywind.decisions.scheduling.placement import TargetCapacity, find_request
+from comfreywind.decisions.scheduling.placement import TargetCapacity, compute_effective_request
 from comfreywind.decisions.scheduling.capacity_index import CapacityIndex
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
@@ -62,7 +62,9 @@
             labelled = not step.required_label or step.required_label in room.labels
             below = not step.target_limit or count < step.target_limit
             permitted = allowed is None or room.target_id in allowed
-            if not (find_request(step).fits(room.free) and labelled and below and permitted):
+            if not (
+                compute_effective_request(step).fits(room.free) and labelled and below and permitted
+            ):
                 continue
             yield (
                 room.target_id in avoided,
