--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -11,7 +11,7 @@
 from comfreywind.jobs.resources import Resources
 from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.job_record import JobRecord
-from comfreywind.scheduling.pool_work import PoolWork, find_mean_size, group_by_pool
+from comfreywind.scheduling.pool_work import PoolWork, compute_mean_capacity, group_by_pool
 
 # Between two loads that are reconstructed; a turn of demand takes seconds.
 RECALL_INTERVAL_MS = 200
@@ -78,11 +78,11 @@
         self, works: Mapping[str, PoolWork], pools: Iterable[str]
     ) -> dict[str, Resources]:
         """Return the mean size of the VMs of each pool, or of all VMs if the pool has none."""
-        usual = find_mean_size(list(self._board.targets.values()))
+        usual = compute_mean_capacity(list(self._board.targets.values()))
         sizes: dict[str, Resources] = {}
         for pool in pools:
             work = works.get(pool)
-            sizes[pool] = find_mean_size(work.targets) if work and work.targets else usual
+            sizes[pool] = compute_mean_capacity(work.targets) if work and work.targets else usual
         return sizes
 
 
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -65,7 +65,7 @@
     return works
 
 
-def find_mean_size(targets: list[TargetRecord]) -> Resources:
+def compute_mean_capacity(targets: list[TargetRecord]) -> Resources:
     """Return the mean capacity of some targets."""
     total = sum_resources(target.entry.capacity for target in targets)
     count = max(1, len(targets))
