--- a/comfreywind/decisions/scheduling/capacity_index.py
+++ b/comfreywind/decisions/scheduling/capacity_index.py
@@ -98,4 +98,10 @@
 def _find_rank(step: Step, avoided: bool, same_step: int, room: TargetCapacity) -> Rank:
     remote = bool(step.preferred_rack) and step.preferred_rack not in room.labels
     crowd = same_step if step.unavailable_limit else 0
-    return (avoided, step.lasting and room.due, crowd, step.filler and room.serving, remote)
+    return (
+        avoided,
+        step.lasting and room.maintenance_due,
+        crowd,
+        step.filler and room.serving,
+        remote,
+    )
--- a/comfreywind/decisions/scheduling/placement.py
+++ b/comfreywind/decisions/scheduling/placement.py
@@ -18,7 +18,7 @@
     free: Resources
     labels: frozenset[str]
     serving: bool = False
-    due: bool = False
+    maintenance_due: bool = False
 
 
 def compute_effective_request(step: Step) -> Resources:
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -320,7 +320,7 @@
         target.free,
         target.entry.labels,
         serving=any(run.tail_limit_ms for run in target.runs.values()),
-        due=target.due,
+        maintenance_due=target.maintenance_due,
     )
 
 
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -28,7 +28,7 @@
     acknowledged_number: int = 0
     reported: bool = False
     rostered: bool = False
-    due: bool = False
+    maintenance_due: bool = False
     silent: bool = False
     lease_end_s: float = 0
     barred_until_s: float = 0
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -144,7 +144,7 @@
         for vm in due_vms:
             record = self._board.targets.get(vm.target_id)
             if record is not None:
-                record.due = True
+                record.maintenance_due = True
 
     def _settle_orders(self, orders: dict[str, VmOrder], done: set[str], now_s: float) -> None:
         for name, order in list(orders.items()):
@@ -178,7 +178,7 @@
     def _keep_working(self, target_id: str) -> None:
         record = self._board.targets.get(target_id)
         if record is not None:
-            record.due = False
+            record.maintenance_due = False
             self._board.take_back_order(record)
         self._emptying_since_s.pop(target_id, None)
 
--- a/tests/scheduling/test_capacity_index.py
+++ b/tests/scheduling/test_capacity_index.py
@@ -68,7 +68,7 @@
                 continue
             yield (
                 room.target_id in avoided,
-                step.lasting and room.due,
+                step.lasting and room.maintenance_due,
                 count if step.unavailable_limit else 0,
                 step.filler and room.serving,
                 bool(step.preferred_rack) and step.preferred_rack not in room.labels,
