--- a/comfreywind/decisions/scheduling/term.py
+++ b/comfreywind/decisions/scheduling/term.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseSighting:
+class LeaseObservation:
     """The lease row as last seen.
 
     `unchanged_s` is for how long this node has seen the row at this version, `renewal_age_s` how
@@ -53,7 +53,7 @@
     renewal_age_s: float | None
 
 
-def decide_term_step(sighting: LeaseSighting, leading: bool) -> TermStep:
+def decide_term_step(sighting: LeaseObservation, leading: bool) -> TermStep:
     """Return the next step of a node that has seen the row."""
     if leading:
         return TermStep.RENEW
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -12,7 +12,7 @@
     RENEW_INTERVAL_S,
     SLOW_STORE_TERM_S,
     USUAL_TERM_S,
-    LeaseSighting,
+    LeaseObservation,
     TermStep,
     choose_term_s,
     decide_term_step,
@@ -162,14 +162,14 @@
         store_time = self._rows.store_time
         return 0 if store_time is None else store_time.find_latest_ms(self._started_s)
 
-    def _describe(self) -> LeaseSighting:
+    def _describe(self) -> LeaseObservation:
         now_s = self._clock.read_monotonic_s()
         row = self._seen_row
         store_time = self._rows.store_time
         age_s = None
         if row.renewed_ms and store_time is not None:
             age_s = (store_time.find_earliest_ms(now_s) - row.renewed_ms) / MS_PER_S
-        return LeaseSighting(
+        return LeaseObservation(
             exists=self._version != 0,
             released=row.released,
             term_s=row.term_s,
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -14,7 +14,7 @@
     RESTART_GAP_S,
     TAKEOVER_MARGIN_S,
     USUAL_TERM_S,
-    LeaseSighting,
+    LeaseObservation,
     TermStep,
     choose_term_s,
     decide_term_step,
@@ -43,9 +43,9 @@
 
 def sight(
     exists: bool = True, released: bool = False, unchanged_s: float = 0, age_s: float | None = None
-) -> LeaseSighting:
+) -> LeaseObservation:
     """Return a sighting of a row with a usual term."""
-    return LeaseSighting(exists, released, USUAL_TERM_S, unchanged_s, age_s)
+    return LeaseObservation(exists, released, USUAL_TERM_S, unchanged_s, age_s)
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
         (sight(age_s=-5), False, TermStep.WAIT),
     ],
 )
-def test_term_steps(sighting: LeaseSighting, leading: bool, step: TermStep) -> None:
+def test_term_steps(sighting: LeaseObservation, leading: bool, step: TermStep) -> None:
     """Guards against two holders, and against a term that nobody takes over."""
     assert decide_term_step(sighting, leading) is step
 
