--- a/comfreywind/decisions/scheduling/term.py
+++ b/comfreywind/decisions/scheduling/term.py
@@ -30,7 +30,7 @@
 OLDER_TAKE_DELAY_S = 0.7
 
 
-class TermStep(enum.StrEnum):
+class TermAction(enum.StrEnum):
     """What a node does next about the lease row."""
 
     WAIT = 'wait'
@@ -53,16 +53,16 @@
     renewal_age_s: float | None
 
 
-def decide_term_step(sighting: LeaseObservation, leading: bool) -> TermStep:
+def decide_term_step(sighting: LeaseObservation, leading: bool) -> TermAction:
     """Return the next step of a node that has seen the row."""
     if leading:
-        return TermStep.RENEW
+        return TermAction.RENEW
     if not sighting.exists or sighting.released:
-        return TermStep.TAKE
+        return TermAction.TAKE
     silent_s = max(sighting.unchanged_s, sighting.renewal_age_s or 0)
     if silent_s >= sighting.term_s + TAKEOVER_MARGIN_S:
-        return TermStep.TAKE
-    return TermStep.WAIT
+        return TermAction.TAKE
+    return TermAction.WAIT
 
 
 def find_take_delay_s(cores: float) -> float:
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -13,7 +13,7 @@
     SLOW_STORE_TERM_S,
     USUAL_TERM_S,
     LeaseObservation,
-    TermStep,
+    TermAction,
     choose_term_s,
     decide_term_step,
     find_release_delay_s,
@@ -143,9 +143,9 @@
         if self._held is None:
             self._observe(await self._rows.read_row(TABLE_TERM, TERM_PART, TERM_KEY))
         step = decide_term_step(self._describe(), self._held is not None)
-        if step is TermStep.WAIT or self._stopping:
+        if step is TermAction.WAIT or self._stopping:
             return
-        if step is TermStep.TAKE:
+        if step is TermAction.TAKE:
             await trio.sleep(self._find_delay_s())
         await self._write(step)
 
@@ -177,12 +177,12 @@
             renewal_age_s=age_s,
         )
 
-    async def _write(self, step: TermStep) -> None:
+    async def _write(self, step: TermAction) -> None:
         sent_s = self._clock.read_monotonic_s()
         store_time = self._rows.store_time
         row = TermRow(
             self._node,
-            self._seen_row.epoch + int(step is TermStep.TAKE),
+            self._seen_row.epoch + int(step is TermAction.TAKE),
             self._seen_row.renewal + 1,
             term_s=self._next_term_s,
             renewed_ms=0 if store_time is None else store_time.find_latest_ms(sent_s),
@@ -190,7 +190,7 @@
             refused=self.own_refused,
             started_ms=self._find_start_ms(),
         )
-        if step is TermStep.RENEW:
+        if step is TermAction.RENEW:
             self._bound_term(sent_s, row.term_s)
         change = RowChange(TABLE_TERM, TERM_KEY, encode_term(row), self._version)
         try:
@@ -225,12 +225,12 @@
         if seen.holder != self._node or seen.released or seen.epoch != self._held.epoch:
             self._lose(f'the row names {seen.holder} in term {seen.epoch}')
 
-    def _accept(self, row: TermRow, version: int, sent_s: float, step: TermStep) -> None:
+    def _accept(self, row: TermRow, version: int, sent_s: float, step: TermAction) -> None:
         now_s = self._clock.read_monotonic_s()
         self._seen_row = row
         self._version = version
         self._version_since_s = now_s
-        if step is TermStep.TAKE and not self._stopping:
+        if step is TermAction.TAKE and not self._stopping:
             self._renewal_sent_s = sent_s
             self._held_term_s = row.term_s
             self._held = HeldTerm(row.epoch, version, now_s)
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -15,7 +15,7 @@
     TAKEOVER_MARGIN_S,
     USUAL_TERM_S,
     LeaseObservation,
-    TermStep,
+    TermAction,
     choose_term_s,
     decide_term_step,
     find_release_delay_s,
@@ -51,17 +51,17 @@
 @pytest.mark.parametrize(
     ('sighting', 'leading', 'step'),
     [
-        (sight(), True, TermStep.RENEW),
-        (sight(exists=False), False, TermStep.TAKE),
-        (sight(released=True), False, TermStep.TAKE),
-        (sight(unchanged_s=OVER_S - 0.1), False, TermStep.WAIT),
-        (sight(unchanged_s=OVER_S), False, TermStep.TAKE),
-        (sight(age_s=OVER_S), False, TermStep.TAKE),
-        (sight(age_s=OVER_S - 0.1), False, TermStep.WAIT),
-        (sight(age_s=-5), False, TermStep.WAIT),
+        (sight(), True, TermAction.RENEW),
+        (sight(exists=False), False, TermAction.TAKE),
+        (sight(released=True), False, TermAction.TAKE),
+        (sight(unchanged_s=OVER_S - 0.1), False, TermAction.WAIT),
+        (sight(unchanged_s=OVER_S), False, TermAction.TAKE),
+        (sight(age_s=OVER_S), False, TermAction.TAKE),
+        (sight(age_s=OVER_S - 0.1), False, TermAction.WAIT),
+        (sight(age_s=-5), False, TermAction.WAIT),
     ],
 )
-def test_term_steps(sighting: LeaseObservation, leading: bool, step: TermStep) -> None:
+def test_term_steps(sighting: LeaseObservation, leading: bool, step: TermAction) -> None:
     """Guards against two holders, and against a term that nobody takes over."""
     assert decide_term_step(sighting, leading) is step
 
