--- a/comfreywind/decisions/scheduling/term.py
+++ b/comfreywind/decisions/scheduling/term.py
@@ -53,7 +53,7 @@
     renewal_age_s: float | None
 
 
-def decide_term_step(sighting: LeaseObservation, leading: bool) -> TermAction:
+def decide_term_action(sighting: LeaseObservation, leading: bool) -> TermAction:
     """Return the next step of a node that has seen the row."""
     if leading:
         return TermAction.RENEW
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -15,7 +15,7 @@
     LeaseObservation,
     TermAction,
     choose_term_s,
-    decide_term_step,
+    decide_term_action,
     find_release_delay_s,
     find_take_delay_s,
     is_term_valid,
@@ -142,7 +142,7 @@
     async def _take_step(self) -> None:
         if self._held is None:
             self._observe(await self._rows.read_row(TABLE_TERM, TERM_PART, TERM_KEY))
-        step = decide_term_step(self._describe(), self._held is not None)
+        step = decide_term_action(self._describe(), self._held is not None)
         if step is TermAction.WAIT or self._stopping:
             return
         if step is TermAction.TAKE:
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -17,7 +17,7 @@
     LeaseObservation,
     TermAction,
     choose_term_s,
-    decide_term_step,
+    decide_term_action,
     find_release_delay_s,
     find_take_delay_s,
     is_term_valid,
@@ -63,7 +63,7 @@
 )
 def test_term_steps(sighting: LeaseObservation, leading: bool, step: TermAction) -> None:
     """Guards against two holders, and against a term that nobody takes over."""
-    assert decide_term_step(sighting, leading) is step
+    assert decide_term_action(sighting, leading) is step
 
 
 @pytest.mark.parametrize('took_s', [0, 0.1, 0.3, 1])
