--- a/comfreywind/decisions/scheduling/term.py
+++ b/comfreywind/decisions/scheduling/term.py
@@ -65,7 +65,7 @@
     return TermAction.WAIT
 
 
-def find_take_delay_s(cores: float) -> float:
+def get_take_delay_s(cores: float) -> float:
     """Return how long a node lets others go first when the term is free.
 
     The holder's work takes up to a core on sites with 180 targets, so large VMs go first.
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -17,7 +17,7 @@
     choose_term_s,
     decide_term_action,
     find_release_delay_s,
-    find_take_delay_s,
+    get_take_delay_s,
     is_term_valid,
 )
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
@@ -56,7 +56,7 @@
         self._node = node
         self._clock = clock
         self._random = random.Random(node)
-        self._take_delay_s = find_take_delay_s(cores)
+        self._take_delay_s = get_take_delay_s(cores)
         self._version = NEVER_SEEN
         self._started_s = clock.read_monotonic_s()
         self._version_since_s = self._started_s
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -19,7 +19,7 @@
     choose_term_s,
     decide_term_action,
     find_release_delay_s,
-    find_take_delay_s,
+    get_take_delay_s,
     is_term_valid,
 )
 from comfreywind.decisions.scheduling.upkeep import (
@@ -81,7 +81,7 @@
 
     Seen on dewpa-sched-grown quiet-1: half of the jobs waited 360 ms and one in twenty 9 s.
     """
-    assert find_take_delay_s(cores) == delay_s
+    assert get_take_delay_s(cores) == delay_s
 
 
 def stand(**fields: float) -> JobStanding:
