--- a/comfreywind/decisions/scheduling/term.py
+++ b/comfreywind/decisions/scheduling/term.py
@@ -83,7 +83,7 @@
     return renewal_sent_s is not None and now_s - renewal_sent_s < term_s
 
 
-def find_release_delay_s(started_later_s: float) -> float:
+def get_release_delay_s(started_later_s: float) -> float:
     """Return the further delay with which a node takes a term that its holder gave up.
 
     `started_later_s` is how much later than that holder the node started.
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -16,7 +16,7 @@
     TermAction,
     choose_term_s,
     decide_term_action,
-    find_release_delay_s,
+    get_release_delay_s,
     get_take_delay_s,
     is_term_valid,
 )
@@ -154,7 +154,7 @@
         row = self._seen_row
         if row.released and row.started_ms:
             later_s = (self._find_start_ms() - row.started_ms) / MS_PER_S
-            delay_s += find_release_delay_s(later_s)
+            delay_s += get_release_delay_s(later_s)
         return delay_s
 
     def _find_start_ms(self) -> float:
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -18,7 +18,7 @@
     TermAction,
     choose_term_s,
     decide_term_action,
-    find_release_delay_s,
+    get_release_delay_s,
     get_take_delay_s,
     is_term_valid,
 )
@@ -224,7 +224,7 @@
 )
 def test_release_delay(started_later_s: float, waits: bool) -> None:
     """Guards against a rolling restart in which each holder is the next to be stopped."""
-    assert (find_release_delay_s(started_later_s) > POLL_INTERVAL_S) is waits
+    assert (get_release_delay_s(started_later_s) > POLL_INTERVAL_S) is waits
 
 
 def load(pool: str, load_vms: float, usable: int, idle: str = '', **fields: object) -> PoolLoad:
