--- a/comfreywind/decisions/scheduling/term.py
+++ b/comfreywind/decisions/scheduling/term.py
@@ -12,7 +12,7 @@
 # A holder stops before a candidate may take over; the margin covers the drift of steady clocks and
 # the time from a check of the lease to the order being sent.
 TAKEOVER_MARGIN_S = 0.4
-USUAL_TERM_S = 1.6
+DEFAULT_TERM_S = 1.6
 # A store that answers 100 times slower than usual takes about a second for a renewal.
 SLOW_STORE_TERM_S = 2.8
 SLOW_RENEWAL_S = 0.25
@@ -75,7 +75,7 @@
 
 def choose_term_s(last_renewal_took_s: float) -> float:
     """Return the length of the next term; a slow store needs a longer one to be renewed in time."""
-    return SLOW_STORE_TERM_S if last_renewal_took_s > SLOW_RENEWAL_S else USUAL_TERM_S
+    return SLOW_STORE_TERM_S if last_renewal_took_s > SLOW_RENEWAL_S else DEFAULT_TERM_S
 
 
 def is_term_valid(renewal_sent_s: float | None, term_s: float, now_s: float) -> bool:
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -11,7 +11,7 @@
     POLL_INTERVAL_S,
     RENEW_INTERVAL_S,
     SLOW_STORE_TERM_S,
-    USUAL_TERM_S,
+    DEFAULT_TERM_S,
     LeaseObservation,
     TermAction,
     choose_term_s,
@@ -60,10 +60,10 @@
         self._version = NEVER_SEEN
         self._started_s = clock.read_monotonic_s()
         self._version_since_s = self._started_s
-        self._next_term_s = USUAL_TERM_S
+        self._next_term_s = DEFAULT_TERM_S
         self._seen_row = TermRow('', 0)
         self._renewal_sent_s: float | None = None
-        self._held_term_s = USUAL_TERM_S
+        self._held_term_s = DEFAULT_TERM_S
         self._held: HeldTerm | None = None
         self._change = trio.Event()
         self._stopping = False
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -13,7 +13,7 @@
     POLL_INTERVAL_S,
     RESTART_GAP_S,
     TAKEOVER_MARGIN_S,
-    USUAL_TERM_S,
+    DEFAULT_TERM_S,
     LeaseObservation,
     TermAction,
     choose_term_s,
@@ -38,14 +38,14 @@
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
 
-OVER_S = USUAL_TERM_S + TAKEOVER_MARGIN_S
+OVER_S = DEFAULT_TERM_S + TAKEOVER_MARGIN_S
 
 
 def sight(
     exists: bool = True, released: bool = False, unchanged_s: float = 0, age_s: float | None = None
 ) -> LeaseObservation:
     """Return a sighting of a row with a usual term."""
-    return LeaseObservation(exists, released, USUAL_TERM_S, unchanged_s, age_s)
+    return LeaseObservation(exists, released, DEFAULT_TERM_S, unchanged_s, age_s)
 
 
 @pytest.mark.parametrize(
--- a/tests/scheduling/test_term_keeper.py
+++ b/tests/scheduling/test_term_keeper.py
@@ -9,7 +9,7 @@
 from comfreywind.decisions.scheduling.term import (
     SLOW_STORE_TERM_S,
     TAKEOVER_MARGIN_S,
-    USUAL_TERM_S,
+    DEFAULT_TERM_S,
 )
 from comfreywind.errors import RowsChangedError
 from comfreywind.platform.rows_client import RowsClient
@@ -116,8 +116,8 @@
         rows.answer_after_s = 60
         await rows.wait_for_commit()
         committed_s = trio.current_time()
-        assert decode_term(rows.row).term_s == USUAL_TERM_S
+        assert decode_term(rows.row).term_s == DEFAULT_TERM_S
         while keeper.is_valid():
             await trio.sleep(0.01)
-        assert trio.current_time() - committed_s < USUAL_TERM_S + TAKEOVER_MARGIN_S
+        assert trio.current_time() - committed_s < DEFAULT_TERM_S + TAKEOVER_MARGIN_S
         nursery.cancel_scope.cancel()
