--- a/comfreywind/decisions/scheduling/term.py
+++ b/comfreywind/decisions/scheduling/term.py
@@ -53,9 +53,9 @@
     renewal_age_s: float | None
 
 
-def decide_term_action(sighting: LeaseObservation, leading: bool) -> TermAction:
+def decide_term_action(sighting: LeaseObservation, holds_term: bool) -> TermAction:
     """Return the next step of a node that has seen the row."""
-    if leading:
+    if holds_term:
         return TermAction.RENEW
     if not sighting.exists or sighting.released:
         return TermAction.TAKE
--- a/tests/model/handover_model.py
+++ b/tests/model/handover_model.py
@@ -181,7 +181,7 @@
 def _list_takes(state: State, number: int) -> Iterator[Move]:
     row = state[0]
     sighting = LeaseObservation(True, False, TERM, row.age, None)
-    if decide_term_action(sighting, leading=False) is TermAction.TAKE and row.epoch < 3:
+    if decide_term_action(sighting, holds_term=False) is TermAction.TAKE and row.epoch < 3:
         taken = Holder(epoch=row.epoch + 1, renewed_age=0, done=row.done, stored=row.done)
         changed = _with_holder(state, number, taken)
         yield 'takes the term', (row._replace(epoch=taken.epoch, age=0), *changed[1:])  # type: ignore[misc]
