--- a/comfreywind/decisions/scheduling/work_order.py
+++ b/comfreywind/decisions/scheduling/work_order.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobStanding:
+class JobUrgency:
     """What decides the turn of a job; times in milliseconds on one clock.
 
     `remaining_ms` is the longest chain of work that is left. `excess` marks work that its team
@@ -28,10 +28,10 @@
     remaining_ms: float
 
 
-FindTurn = Callable[[JobStanding, float], tuple[float, ...]]
+FindTurn = Callable[[JobUrgency, float], tuple[float, ...]]
 
 
-def find_turn(standing: JobStanding, now_ms: float) -> tuple[float, ...]:
+def find_turn(standing: JobUrgency, now_ms: float) -> tuple[float, ...]:
     """Return the sort key of a job: lasting tasks, then jobs that can be on time, then the others.
 
     Lasting tasks are few and serve users all the time. A job that can no longer meet its objective
--- a/comfreywind/lab/policies.py
+++ b/comfreywind/lab/policies.py
@@ -1,11 +1,11 @@
 """The policies that the lab knows by name."""
 
 from comfreywind.decisions.scheduling.pool_policy import PoolPolicy
-from comfreywind.decisions.scheduling.work_order import JobStanding
+from comfreywind.decisions.scheduling.work_order import JobUrgency
 from comfreywind.lab.lab_policy import LabPolicy
 
 
-def find_arrival_turn(standing: JobStanding, now_ms: float) -> tuple[float, ...]:
+def find_arrival_turn(standing: JobUrgency, now_ms: float) -> tuple[float, ...]:
     """Return the sort key of first in, first out."""
     return (standing.accepted_ms,)
 
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -10,7 +10,7 @@
     compute_effective_request,
 )
 from comfreywind.decisions.scheduling.capacity_index import NO_COUNTS, CapacityIndex
-from comfreywind.decisions.scheduling.work_order import FindTurn, JobStanding, find_turn
+from comfreywind.decisions.scheduling.work_order import FindTurn, JobUrgency, find_turn
 from comfreywind.jobs.resources import NO_RESOURCES, Resources
 from comfreywind.jobs.step import Step
 from comfreywind.jobs.task_key import TaskKey
@@ -123,9 +123,9 @@
             return False
         return True
 
-    def _describe(self, record: JobRecord) -> JobStanding:
+    def _describe(self, record: JobRecord) -> JobUrgency:
         queue = self._board.rules.queues.get(record.job.queue.name, record.job.queue)
-        return JobStanding(
+        return JobUrgency(
             lasting=record.job.lasting,
             excess=record.excess,
             priority=queue.priority,
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -31,7 +31,7 @@
     may_go_down,
 )
 from comfreywind.decisions.scheduling.work_order import (
-    JobStanding,
+    JobUrgency,
     find_chain_ms,
     find_turn,
 )
@@ -84,7 +84,7 @@
     assert get_take_delay_s(cores) == delay_s
 
 
-def stand(**fields: float) -> JobStanding:
+def stand(**fields: float) -> JobUrgency:
     """Return a job accepted at 0 with an objective of 2 s and 1 s of work left."""
     usual: dict[str, float] = {
         'lasting': False,
@@ -94,7 +94,7 @@
         'objective_ms': 2000,
         'remaining_ms': 1000,
     }
-    return JobStanding(**{**usual, **fields})  # type: ignore[arg-type]
+    return JobUrgency(**{**usual, **fields})  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
     ],
     ids=['lasting', 'share', 'priority', 'due', 'on time', 'soonest late', 'hopeless'],
 )
-def test_order_of_work(first: JobStanding, second: JobStanding, now_ms: float) -> None:
+def test_order_of_work(first: JobUrgency, second: JobUrgency, now_ms: float) -> None:
     """Guards against room for jobs that can't be on time while others that can be wait."""
     assert find_turn(first, now_ms) < find_turn(second, now_ms)
 
