--- a/comfreywind/decisions/scheduling/work_order.py
+++ b/comfreywind/decisions/scheduling/work_order.py
@@ -28,7 +28,7 @@
     remaining_ms: float
 
 
-FindTurn = Callable[[JobUrgency, float], tuple[float, ...]]
+SortKeyFunction = Callable[[JobUrgency, float], tuple[float, ...]]
 
 
 def find_turn(standing: JobUrgency, now_ms: float) -> tuple[float, ...]:
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -10,7 +10,7 @@
     compute_effective_request,
 )
 from comfreywind.decisions.scheduling.capacity_index import NO_COUNTS, CapacityIndex
-from comfreywind.decisions.scheduling.work_order import FindTurn, JobUrgency, find_turn
+from comfreywind.decisions.scheduling.work_order import SortKeyFunction, JobUrgency, find_turn
 from comfreywind.jobs.resources import NO_RESOURCES, Resources
 from comfreywind.jobs.step import Step
 from comfreywind.jobs.task_key import TaskKey
@@ -39,7 +39,7 @@
     """Starts of the tasks that wait on a board."""
 
     def __init__(
-        self, board: Board, order_work: FindTurn = find_turn, metrics: Metrics | None = None
+        self, board: Board, order_work: SortKeyFunction = find_turn, metrics: Metrics | None = None
     ) -> None:
         """Plan for this board, with jobs in the order of work that the function gives."""
         self._metrics = metrics or NoMetrics()
