--- a/comfreywind/decisions/scheduling/work_order.py
+++ b/comfreywind/decisions/scheduling/work_order.py
@@ -31,7 +31,7 @@
 SortKeyFunction = Callable[[JobUrgency, float], tuple[float, ...]]
 
 
-def find_turn(standing: JobUrgency, now_ms: float) -> tuple[float, ...]:
+def compute_sort_key(standing: JobUrgency, now_ms: float) -> tuple[float, ...]:
     """Return the sort key of a job: lasting tasks, then jobs that can be on time, then the others.
 
     Lasting tasks are few and serve users all the time. A job that can no longer meet its objective
--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -43,7 +43,7 @@
         self._model = model
         self._arrivals = {arrival.job.job_id: arrival for arrival in arrivals}
         self._board = Board(1)
-        self._planner = Planner(self._board, policy.find_turn)
+        self._planner = Planner(self._board, policy.compute_sort_key)
         self._sizer = None if policy.pools is None else PoolSizer(self._board, policy.pools)
         self._events: list[tuple[float, int, Act]] = []
         self._numbers = itertools.count()
--- a/comfreywind/lab/lab_policy.py
+++ b/comfreywind/lab/lab_policy.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from comfreywind.decisions.scheduling.pool_policy import PoolPolicy
-from comfreywind.decisions.scheduling.work_order import SortKeyFunction, find_turn
+from comfreywind.decisions.scheduling.work_order import SortKeyFunction, compute_sort_key
 
 
 @dataclass(frozen=True, slots=True)
@@ -12,4 +12,4 @@
 
     name: str
     pools: PoolPolicy | None
-    find_turn: SortKeyFunction = find_turn
+    compute_sort_key: SortKeyFunction = compute_sort_key
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -10,7 +10,11 @@
     compute_effective_request,
 )
 from comfreywind.decisions.scheduling.capacity_index import NO_COUNTS, CapacityIndex
-from comfreywind.decisions.scheduling.work_order import SortKeyFunction, JobUrgency, find_turn
+from comfreywind.decisions.scheduling.work_order import (
+    SortKeyFunction,
+    JobUrgency,
+    compute_sort_key,
+)
 from comfreywind.jobs.resources import NO_RESOURCES, Resources
 from comfreywind.jobs.step import Step
 from comfreywind.jobs.task_key import TaskKey
@@ -39,7 +43,10 @@
     """Starts of the tasks that wait on a board."""
 
     def __init__(
-        self, board: Board, order_work: SortKeyFunction = find_turn, metrics: Metrics | None = None
+        self,
+        board: Board,
+        order_work: SortKeyFunction = compute_sort_key,
+        metrics: Metrics | None = None,
     ) -> None:
         """Plan for this board, with jobs in the order of work that the function gives."""
         self._metrics = metrics or NoMetrics()
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -33,7 +33,7 @@
 from comfreywind.decisions.scheduling.work_order import (
     JobUrgency,
     find_chain_ms,
-    find_turn,
+    compute_sort_key,
 )
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
@@ -112,7 +112,7 @@
 )
 def test_order_of_work(first: JobUrgency, second: JobUrgency, now_ms: float) -> None:
     """Guards against room for jobs that can't be on time while others that can be wait."""
-    assert find_turn(first, now_ms) < find_turn(second, now_ms)
+    assert compute_sort_key(first, now_ms) < compute_sort_key(second, now_ms)
 
 
 def test_chain() -> None:
