--- a/comfreywind/decisions/scheduling/work_order.py
+++ b/comfreywind/decisions/scheduling/work_order.py
@@ -54,7 +54,9 @@
     return step.estimate_ms or DEFAULT_ESTIMATE_MS
 
 
-def find_chain_ms(steps: tuple[Step, ...], done_steps: frozenset[int] = NO_STEPS) -> float:
+def compute_critical_path_ms(
+    steps: tuple[Step, ...], done_steps: frozenset[int] = NO_STEPS
+) -> float:
     """Return the longest chain of estimates over the steps that are not done."""
     chain_ms: list[float] = []
     for number, step in enumerate(steps):
@@ -65,4 +67,7 @@
 
 def find_objective_ms(job: Job) -> float:
     """Return the latency objective of a job in milliseconds."""
-    return job.queue.stretch_factor * find_chain_ms(job.steps) + job.queue.latency_objective_ms
+    return (
+        job.queue.stretch_factor * compute_critical_path_ms(job.steps)
+        + job.queue.latency_objective_ms
+    )
--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from comfreywind.decisions.scheduling.work_order import find_chain_ms, find_objective_ms
+from comfreywind.decisions.scheduling.work_order import compute_critical_path_ms, find_objective_ms
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.task_key import TaskKey
@@ -144,7 +144,7 @@
         done = frozenset(
             number for number in range(len(self.job.steps)) if not self.left_in_step[last, number]
         )
-        self.remaining_ms = find_chain_ms(self.job.steps, done)
+        self.remaining_ms = compute_critical_path_ms(self.job.steps, done)
 
     def _name_checkpoint(self, key: TaskKey) -> tuple[int, int, int]:
         number = 0 if self.job.steps[key.step].gang else key.number
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -32,7 +32,7 @@
 )
 from comfreywind.decisions.scheduling.work_order import (
     JobUrgency,
-    find_chain_ms,
+    compute_critical_path_ms,
     compute_sort_key,
 )
 from comfreywind.jobs.resources import Resources
@@ -123,8 +123,8 @@
         Step(1, request, 400),
         Step(1, request, 500, after=(0, 1)),
     )
-    assert find_chain_ms(steps) == 1500
-    assert find_chain_ms(steps, frozenset((0,))) == 900
+    assert compute_critical_path_ms(steps) == 1500
+    assert compute_critical_path_ms(steps, frozenset((0,))) == 900
 
 
 def due(name: str, **fields: object) -> WaveVm:
