--- a/comfreywind/decisions/scheduling/work_order.py
+++ b/comfreywind/decisions/scheduling/work_order.py
@@ -65,7 +65,7 @@
     return max(chain_ms, default=0)
 
 
-def find_objective_ms(job: Job) -> float:
+def compute_objective_ms(job: Job) -> float:
     """Return the latency objective of a job in milliseconds."""
     return (
         job.queue.stretch_factor * compute_critical_path_ms(job.steps)
--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -2,7 +2,10 @@
 
 from dataclasses import dataclass, field
 
-from comfreywind.decisions.scheduling.work_order import compute_critical_path_ms, find_objective_ms
+from comfreywind.decisions.scheduling.work_order import (
+    compute_critical_path_ms,
+    compute_objective_ms,
+)
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.task_key import TaskKey
@@ -39,7 +42,7 @@
                 self.left_in_step[occurrence, number] = step.task_count
         for occurrence, number, _ in self.progress.done:
             self.left_in_step[occurrence, number] -= 1
-        self.objective_ms = find_objective_ms(self.job)
+        self.objective_ms = compute_objective_ms(self.job)
         self.update_remaining()
 
     @property
