--- a/comfreywind/decisions/scheduling/pool_size.py
+++ b/comfreywind/decisions/scheduling/pool_size.py
@@ -6,7 +6,7 @@
 
 from comfreywind.decisions.scheduling.pool_policy import PoolPolicy
 
-USUAL_POLICY = PoolPolicy()
+DEFAULT_POLICY = PoolPolicy()
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     pool: str
 
 
-def find_wanted(load: PoolLoad, policy: PoolPolicy = USUAL_POLICY) -> int:
+def find_wanted(load: PoolLoad, policy: PoolPolicy = DEFAULT_POLICY) -> int:
     """Return how many VMs the pool should have for its load."""
     filled = max(load.load_vms, load.expected_vms) / policy.target_fill
     base = math.ceil(policy.base_part * load.even_share_vms)
@@ -47,7 +47,7 @@
     return max(sized, load.usable) + load.vms_for_lasting if load.vms_for_lasting else sized
 
 
-def find_surplus(load: PoolLoad, policy: PoolPolicy = USUAL_POLICY) -> int:
+def find_surplus(load: PoolLoad, policy: PoolPolicy = DEFAULT_POLICY) -> int:
     """Return how many VMs the pool could give up, negative when it lacks some."""
     return load.usable + load.arriving - find_wanted(load, policy)
 
@@ -56,7 +56,7 @@
     return sorted(loads, key=lambda load: surplus_by_pool[load.pool])
 
 
-def choose_moves(loads: Collection[PoolLoad], policy: PoolPolicy = USUAL_POLICY) -> list[VmMove]:
+def choose_moves(loads: Collection[PoolLoad], policy: PoolPolicy = DEFAULT_POLICY) -> list[VmMove]:
     """Return the moves: into pools that lack VMs, then out of pools that have had too many.
 
     Pools that lack VMs get them from standby first, then from pools with a surplus.
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -7,7 +7,7 @@
 import trio
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.scheduling.pool_size import USUAL_POLICY
+from comfreywind.decisions.scheduling.pool_size import DEFAULT_POLICY
 from comfreywind.errors import StoreUnavailableError
 from comfreywind.jobs.ended_job import EndedJob
 from comfreywind.jobs.job_codec import decode_accepted, decode_progress
@@ -242,7 +242,7 @@
             watch,
             self._rules,
             self._keeper,
-            PoolSizer(self.board, USUAL_POLICY, self._reservations.may_reserve),
+            PoolSizer(self.board, DEFAULT_POLICY, self._reservations.may_reserve),
             self._clock,
         )
 
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -4,7 +4,7 @@
 
 from comfreywind.decisions.scheduling.pace import choose_pace
 from comfreywind.decisions.scheduling.pool_size import (
-    USUAL_POLICY,
+    DEFAULT_POLICY,
     PoolLoad,
     VmMove,
     choose_moves,
@@ -246,7 +246,7 @@
         ([load('b', 0, 4, 'y z'), load('s', 0, 0, standby=True)], []),
         (
             [
-                load('b', 0, 4, 'y z', surplus_for_s=USUAL_POLICY.shrink_after_s),
+                load('b', 0, 4, 'y z', surplus_for_s=DEFAULT_POLICY.shrink_after_s),
                 load('s', 0, 0, standby=True),
             ],
             [VmMove('y', 's'), VmMove('z', 's')],
