--- a/comfreywind/decisions/scheduling/pool_size.py
+++ b/comfreywind/decisions/scheduling/pool_size.py
@@ -47,7 +47,7 @@
     return max(sized, load.usable) + load.vms_for_lasting if load.vms_for_lasting else sized
 
 
-def find_surplus(load: PoolLoad, policy: PoolPolicy = DEFAULT_POLICY) -> int:
+def compute_surplus_vms(load: PoolLoad, policy: PoolPolicy = DEFAULT_POLICY) -> int:
     """Return how many VMs the pool could give up, negative when it lacks some."""
     return load.usable + load.arriving - find_wanted(load, policy)
 
@@ -61,7 +61,7 @@
 
     Pools that lack VMs get them from standby first, then from pools with a surplus.
     """
-    surplus_by_pool = {load.pool: find_surplus(load, policy) for load in loads}
+    surplus_by_pool = {load.pool: compute_surplus_vms(load, policy) for load in loads}
     working = [load for load in loads if not load.standby]
     standby = [load for load in loads if load.standby]
     offered = [vm for load in standby for vm in load.idle_vms]
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -9,7 +9,7 @@
     PoolLoad,
     VmMove,
     choose_moves,
-    find_surplus,
+    compute_surplus_vms,
 )
 from comfreywind.jobs.pool import Pool
 from comfreywind.jobs.vm import Vm
@@ -134,7 +134,7 @@
             vms_for_lasting=work.count_vms_for_lasting(),
             expected_vms=self._demand.forecast_load_vms(pool.name, load_vms, now_s, self._move_s),
         )
-        if pool.standby or find_surplus(load, self._policy) <= 0:
+        if pool.standby or compute_surplus_vms(load, self._policy) <= 0:
             self._surplus_since_s.pop(pool.name, None)
             return load
         since_s = self._surplus_since_s.setdefault(pool.name, now_s)
