--- a/comfreywind/decisions/scheduling/pool_size.py
+++ b/comfreywind/decisions/scheduling/pool_size.py
@@ -15,7 +15,7 @@
 
     `idle_vms` are those without any run. `surplus_for_s` is for how long it has had too many.
     `expected_vms` is the load that a surge under way will reach by what is known of earlier ones.
-    `even_share_vms` is what the pool would have if all VMs were dealt evenly, and `vms_for_lasting`
+    `even_share_vms` is what the pool would have if all VMs were dealt evenly, and `vms_for_long_running`
     how many empty VMs its lasting tasks wait for.
     """
 
@@ -28,7 +28,7 @@
     surplus_for_s: float = 0
     expected_vms: float = 0
     even_share_vms: float = 0
-    vms_for_lasting: int = 0
+    vms_for_long_running: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,9 @@
     filled = max(load.load_vms, load.expected_vms) / policy.target_fill
     base = math.ceil(policy.base_part * load.even_share_vms)
     sized = max(policy.smallest_pool, base, math.ceil(filled) + policy.spare_vms)
-    return max(sized, load.usable) + load.vms_for_lasting if load.vms_for_lasting else sized
+    return (
+        max(sized, load.usable) + load.vms_for_long_running if load.vms_for_long_running else sized
+    )
 
 
 def compute_surplus_vms(load: PoolLoad, policy: PoolPolicy = DEFAULT_POLICY) -> int:
