--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -34,7 +34,7 @@
         )
         return len(self.targets) * running.add(waiting).find_largest_part(capacity)
 
-    def count_vms_for_lasting(self) -> int:
+    def count_vms_for_long_running(self) -> int:
         """Return how many empty VMs the lasting tasks that wait would take.
 
         They start first, so what waits has found no room: free memory or processor time is spread
