--- a/comfreywind/decisions/scheduling/past_load.py
+++ b/comfreywind/decisions/scheduling/past_load.py
@@ -19,7 +19,7 @@
     end_ms: float
     total: Resources
 
-    def measure_vm_seconds(self, vm_size: Resources) -> float:
+    def compute_vm_seconds(self, vm_size: Resources) -> float:
         """Return for how many seconds the work would fill one VM of that size."""
         return self.total.find_largest_part(vm_size) * (self.end_ms - self.start_ms) / MS_PER_S
 
--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -88,4 +88,4 @@
 
 def _measure_work(job: Job, vm_size: Resources) -> float:
     """Return for how many seconds the job would fill one VM, by its estimates."""
-    return sum(work.measure_vm_seconds(vm_size) for work in list_past_work(job))
+    return sum(work.compute_vm_seconds(vm_size) for work in list_past_work(job))
