--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -122,7 +122,7 @@
     def _describe(
         self, pool: Pool, work: PoolWork, even_share_vms: float, now_s: float
     ) -> PoolLoad:
-        load_vms = work.measure_load_vms()
+        load_vms = work.compute_load_vms()
         load = PoolLoad(
             pool=pool.name,
             standby=pool.standby,
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -20,7 +20,7 @@
     vms: list[Vm] = field(default_factory=list)
     arriving: int = 0
 
-    def measure_load_vms(self) -> float:
+    def compute_load_vms(self) -> float:
         """Return the work that runs or waits, in VMs of the pool's mean size.
 
         The resource that is scarcest counts: tasks may fill the memory of VMs whose processors idle.
