--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -113,7 +113,7 @@
     def _size_pools(self, sizer: PoolSizer) -> None:
         pools = self._board.rules.pools.values()
         for move in sizer.choose(pools, self._listed, self._now_s):
-            if sizer.begin(self._listed[move.vm], move.pool, self._now_s):
+            if sizer.start_move(self._listed[move.vm], move.pool, self._now_s):
                 self._move(self._vms[move.vm], move.pool)
         self._at(self._now_s + INTERVAL_S, partial(self._size_pools, sizer))
 
--- a/comfreywind/scheduling/pool_keeper.py
+++ b/comfreywind/scheduling/pool_keeper.py
@@ -85,7 +85,7 @@
         vm = self._watch.vms.get(move.vm)
         if vm is None or not self._keeper.is_valid():
             return
-        if not self._sizer.begin(vm, move.pool, self._clock.read_monotonic_s()):
+        if not self._sizer.start_move(vm, move.pool, self._clock.read_monotonic_s()):
             return
         answer = await self._vm_client.move(vm.name, move.pool, self._node, self._term.epoch)
         log.info('VM %s: move from %s to %s: %s', vm.name, vm.pool, move.pool, answer)
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -69,7 +69,7 @@
         """Return whether a move is under way."""
         return bool(self._orders)
 
-    def begin(self, vm: Vm, pool: str, now_s: float) -> bool:
+    def start_move(self, vm: Vm, pool: str, now_s: float) -> bool:
         """Note that the move is about to be ordered; return False when the VM has work now."""
         record = self._board.targets.get(vm.target_id)
         if record is not None and record.runs:
--- a/tests/scheduling/test_pool_keeper.py
+++ b/tests/scheduling/test_pool_keeper.py
@@ -36,7 +36,7 @@
         """Tell that no move is under way."""
         return False
 
-    def begin(self, *_: Any) -> bool:
+    def start_move(self, *_: Any) -> bool:
         """Allow each move."""
         return True
 
