--- a/comfreywind/scheduling/pool_keeper.py
+++ b/comfreywind/scheduling/pool_keeper.py
@@ -90,4 +90,4 @@
         answer = await self._vm_client.move(vm.name, move.pool, self._node, self._term.epoch)
         log.info('VM %s: move from %s to %s: %s', vm.name, vm.pool, move.pool, answer)
         if answer is VmOrderAnswer.REFUSED:
-            self._sizer.give_up(vm)
+            self._sizer.cancel_move(vm)
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -80,7 +80,7 @@
         self._destinations[vm.name] = pool
         return True
 
-    def give_up(self, vm: Vm) -> None:
+    def cancel_move(self, vm: Vm) -> None:
         """Note that the move will not happen; the VM works on."""
         self._release(vm.target_id)
         self._forget(vm.name)
