--- a/comfreywind/scheduling/pool_keeper.py
+++ b/comfreywind/scheduling/pool_keeper.py
@@ -60,7 +60,7 @@
                 self._recall(now_s)
             moves = self._sizer.choose(rules.pools.values(), self._watch.vms, now_s)
             self._wants_list = bool(moves) or self._sizer.has_moves()
-            fresh = self._watch.find_age_s(now_s) < LIST_AGE_LIMIT_S
+            fresh = self._watch.get_list_age_s(now_s) < LIST_AGE_LIMIT_S
             if moves and fresh and self._keeper.is_valid():
                 await self._order_all(moves)
 
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -120,7 +120,7 @@
 
     async def _step(self) -> None:
         now_s = self._clock.read_monotonic_s()
-        stale = self._watch.find_age_s(now_s) > LIST_AGE_LIMIT_S
+        stale = self._watch.get_list_age_s(now_s) > LIST_AGE_LIMIT_S
         if stale or not self._keeper.is_valid():
             return
         for wave in self._list_open():
--- a/comfreywind/scheduling/vm_watch.py
+++ b/comfreywind/scheduling/vm_watch.py
@@ -67,7 +67,7 @@
         """
         return self.read_s > since_s and target_id not in self._find_living()
 
-    def find_age_s(self, now_s: float) -> float:
+    def get_list_age_s(self, now_s: float) -> float:
         """Return how old the list is in seconds."""
         return now_s - self.read_s
 
--- a/tests/scheduling/test_pool_keeper.py
+++ b/tests/scheduling/test_pool_keeper.py
@@ -40,7 +40,7 @@
         """Allow each move."""
         return True
 
-    def find_age_s(self, now_s: float) -> float:
+    def get_list_age_s(self, now_s: float) -> float:
         """Tell that the list is fresh."""
         return 0
 
