--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -88,7 +88,7 @@
         await self._load()
         while True:
             # The list shows which VMs have gone down, so that their tasks start elsewhere.
-            await self._watch.wait_read(INTERVAL_S)
+            await self._watch.wait_for_read(INTERVAL_S)
             try:
                 await self._step()
             except StoreUnavailableError as error:
--- a/comfreywind/scheduling/vm_watch.py
+++ b/comfreywind/scheduling/vm_watch.py
@@ -37,7 +37,7 @@
         """Have the list read soon, because an order was carried out."""
         self._wanted.set()
 
-    async def wait_read(self, limit_s: float) -> None:
+    async def wait_for_read(self, limit_s: float) -> None:
         """Return after the next reading, or after the limit."""
         with trio.move_on_after(limit_s):
             await self._read_done.wait()
