--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -298,7 +298,7 @@
             order.confirmed_s = self._clock.read_monotonic_s()
             # The upkeep has begun; a later holder must not order it again.
             self._done[wave.wave].add(vm.name)
-            self._watch.refresh()
+            self._watch.request_read()
         elif answer is VmOrderAnswer.REFUSED:
             del orders[vm.name]
             self._keep_working(vm.target_id)
--- a/comfreywind/scheduling/vm_watch.py
+++ b/comfreywind/scheduling/vm_watch.py
@@ -33,7 +33,7 @@
         self._wanted = trio.Event()
         self._read_done = trio.Event()
 
-    def refresh(self) -> None:
+    def request_read(self) -> None:
         """Have the list read soon, because an order was carried out."""
         self._wanted.set()
 
