--- a/comfreywind/scheduling/board.py
+++ b/comfreywind/scheduling/board.py
@@ -10,7 +10,7 @@
 
 from comfreywind.decisions.scheduling.pace import choose_pace
 from comfreywind.decisions.scheduling.placement import compute_effective_request
-from comfreywind.decisions.scheduling.upkeep import StepHealth
+from comfreywind.decisions.scheduling.maintenance import StepHealth
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.job_rules import JobRules
 from comfreywind.jobs.job_state import JobState
--- a/comfreywind/scheduling/upkeep_keeper.py
+++ b/comfreywind/scheduling/upkeep_keeper.py
@@ -6,7 +6,7 @@
 import trio
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.scheduling.upkeep import (
+from comfreywind.decisions.scheduling.maintenance import (
     WaveVm,
     choose_emptying,
     count_rounds,
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -22,7 +22,7 @@
     get_take_delay_s,
     is_term_valid,
 )
-from comfreywind.decisions.scheduling.upkeep import (
+from comfreywind.decisions.scheduling.maintenance import (
     StepHealth,
     WaveVm,
     choose_emptying,
