--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -44,7 +44,7 @@
 from comfreywind.scheduling.settlement import Settlement
 from comfreywind.scheduling.target_link import LONGEST_WAIT_S, TargetLink
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
-from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
+from comfreywind.scheduling.maintenance_keeper import UpkeepKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
 from comfreywind.settings.address import Address
 from comfreywind.settings.node import NodeSettings
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_upkeep_rounds.py
@@ -22,7 +22,7 @@
 from comfreywind.platform.stored_row import RowChange
 from comfreywind.platform.vm_client import VmOrderAnswer
 from comfreywind.scheduling.orders import StartOrder
-from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
+from comfreywind.scheduling.maintenance_keeper import UpkeepKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
 from tests.helpers.board_rig import POOL, BoardRig, make_job
 from tests.helpers.trio_clock import TrioClock
