--- a/comfreywind/report/fleet_report.py
+++ b/comfreywind/report/fleet_report.py
@@ -23,7 +23,7 @@
 from comfreywind.platform.target_codec import decode_target
 from comfreywind.platform.wave_codec import decode_wave
 from comfreywind.platform.wire import KEY_CONFIG, PREFIX_WAVE, TABLE_OPERATOR, TABLE_SERVERS
-from comfreywind.scheduling.upkeep_row import UPKEEP_KEY, decode_upkeep
+from comfreywind.scheduling.maintenance_row import UPKEEP_KEY, decode_upkeep
 
 Cells = tuple[object, ...]
 UNREADABLE = 'unreadable'
--- a/comfreywind/scheduling/maintenance_keeper.py
+++ b/comfreywind/scheduling/maintenance_keeper.py
@@ -31,7 +31,7 @@
 from comfreywind.scheduling.target_link import UNSEEN_LAPSE_S
 from comfreywind.scheduling.target_record import TargetRecord
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
-from comfreywind.scheduling.upkeep_row import UPKEEP_KEY, decode_upkeep, encode_upkeep
+from comfreywind.scheduling.maintenance_row import UPKEEP_KEY, decode_upkeep, encode_upkeep
 from comfreywind.scheduling.vm_order import VmOrder
 from comfreywind.scheduling.vm_watch import VmWatch
 
