--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -44,7 +44,7 @@
 from comfreywind.scheduling.settlement import Settlement
 from comfreywind.scheduling.target_link import LONGEST_WAIT_S, TargetLink
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
-from comfreywind.scheduling.maintenance_keeper import UpkeepKeeper
+from comfreywind.scheduling.maintenance_keeper import MaintenanceKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
 from comfreywind.settings.address import Address
 from comfreywind.settings.node import NodeSettings
@@ -224,7 +224,7 @@
         """Return whether the list of VMs shows that the target's life is over."""
         return self._watch is not None and self._watch.is_dead(target_id, self._term.taken_s)
 
-    def _needs_list(self, upkeep: UpkeepKeeper, pools: PoolKeeper) -> bool:
+    def _needs_list(self, upkeep: MaintenanceKeeper, pools: PoolKeeper) -> bool:
         return upkeep.is_busy() or pools.is_busy() or self._has_doubt()
 
     def _has_doubt(self) -> bool:
@@ -249,8 +249,8 @@
     def _wake_planner(self) -> None:
         self._wake.set()
 
-    def _make_upkeep(self, client: VmClient, watch: VmWatch) -> UpkeepKeeper:
-        return UpkeepKeeper(
+    def _make_upkeep(self, client: VmClient, watch: VmWatch) -> MaintenanceKeeper:
+        return MaintenanceKeeper(
             self._term,
             self._settings.name,
             self._reservations,
--- a/comfreywind/scheduling/maintenance_keeper.py
+++ b/comfreywind/scheduling/maintenance_keeper.py
@@ -47,7 +47,7 @@
 log = logging.getLogger('comfreywind.upkeep')
 
 
-class UpkeepKeeper:
+class MaintenanceKeeper:
     """The holder's task for waves; it owns the orders that are under way."""
 
     def __init__(
--- a/tests/scheduling/test_maintenance_rounds.py
+++ b/tests/scheduling/test_maintenance_rounds.py
@@ -22,7 +22,7 @@
 from comfreywind.platform.stored_row import RowChange
 from comfreywind.platform.vm_client import VmOrderAnswer
 from comfreywind.scheduling.orders import StartOrder
-from comfreywind.scheduling.maintenance_keeper import UpkeepKeeper
+from comfreywind.scheduling.maintenance_keeper import MaintenanceKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
 from tests.helpers.board_rig import POOL, BoardRig, make_job
 from tests.helpers.trio_clock import TrioClock
@@ -136,12 +136,12 @@
             await trio.sleep(0.02)
 
 
-def make_keeper(fleet: Any, watch: VmWatch) -> UpkeepKeeper:
+def make_keeper(fleet: Any, watch: VmWatch) -> MaintenanceKeeper:
     """Return the keeper of a holder that takes over now."""
     clock = TrioClock()
     term = cast('Any', SimpleNamespace(epoch=1, taken_s=clock.read_monotonic_s()))
     board = fleet.rig.board
-    return UpkeepKeeper(
+    return MaintenanceKeeper(
         term, 'n', fleet, fleet, fleet, watch, fleet, fleet, board, clock, lambda orders: None
     )
 
