--- a/comfreywind/scheduling/maintenance_keeper.py
+++ b/comfreywind/scheduling/maintenance_keeper.py
@@ -31,7 +31,7 @@
 from comfreywind.scheduling.target_link import UNSEEN_LAPSE_S
 from comfreywind.scheduling.target_record import TargetRecord
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
-from comfreywind.scheduling.maintenance_row import UPKEEP_KEY, decode_upkeep, encode_upkeep
+from comfreywind.scheduling.maintenance_row import MAINTENANCE_KEY, decode_upkeep, encode_upkeep
 from comfreywind.scheduling.vm_order import VmOrder
 from comfreywind.scheduling.vm_watch import VmWatch
 
@@ -108,7 +108,7 @@
     async def _load(self) -> None:
         while True:
             try:
-                row = await self._rows.read_row(TABLE_TERM, HOLDER_PART, UPKEEP_KEY)
+                row = await self._rows.read_row(TABLE_TERM, HOLDER_PART, MAINTENANCE_KEY)
             except StoreUnavailableError as error:
                 log.info('upkeep not read yet: %s', error)
                 await trio.sleep(INTERVAL_S)
@@ -308,7 +308,9 @@
         count = sum(map(len, self._done.values()))
         if count == self._stored_count:
             return
-        change = RowChange(TABLE_TERM, UPKEEP_KEY, encode_upkeep(self._done), self._done_version)
+        change = RowChange(
+            TABLE_TERM, MAINTENANCE_KEY, encode_upkeep(self._done), self._done_version
+        )
         try:
             self._done_version = await self._rows.commit(HOLDER_PART, [change])
         except RowsChangedError as error:
--- a/comfreywind/scheduling/maintenance_row.py
+++ b/comfreywind/scheduling/maintenance_row.py
@@ -4,7 +4,7 @@
 
 from comfreywind.jobs.row_format import reading_row
 
-UPKEEP_KEY = 'upkeep'
+MAINTENANCE_KEY = 'upkeep'
 
 
 def encode_upkeep(done: dict[int, set[str]]) -> bytes:
