--- a/comfreywind/scheduling/maintenance_keeper.py
+++ b/comfreywind/scheduling/maintenance_keeper.py
@@ -31,7 +31,11 @@
 from comfreywind.scheduling.target_link import UNSEEN_LAPSE_S
 from comfreywind.scheduling.target_record import TargetRecord
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
-from comfreywind.scheduling.maintenance_row import MAINTENANCE_KEY, decode_upkeep, encode_upkeep
+from comfreywind.scheduling.maintenance_row import (
+    MAINTENANCE_KEY,
+    decode_upkeep,
+    encode_maintenance,
+)
 from comfreywind.scheduling.vm_order import VmOrder
 from comfreywind.scheduling.vm_watch import VmWatch
 
@@ -309,7 +313,7 @@
         if count == self._stored_count:
             return
         change = RowChange(
-            TABLE_TERM, MAINTENANCE_KEY, encode_upkeep(self._done), self._done_version
+            TABLE_TERM, MAINTENANCE_KEY, encode_maintenance(self._done), self._done_version
         )
         try:
             self._done_version = await self._rows.commit(HOLDER_PART, [change])
--- a/comfreywind/scheduling/maintenance_row.py
+++ b/comfreywind/scheduling/maintenance_row.py
@@ -7,7 +7,7 @@
 MAINTENANCE_KEY = 'upkeep'
 
 
-def encode_upkeep(done: dict[int, set[str]]) -> bytes:
+def encode_maintenance(done: dict[int, set[str]]) -> bytes:
     """Return the row."""
     packed: bytes = msgpack.packb({wave: sorted(names) for wave, names in done.items()})
     return packed
