--- a/comfreywind/report/fleet_report.py
+++ b/comfreywind/report/fleet_report.py
@@ -23,7 +23,7 @@
 from comfreywind.platform.target_codec import decode_target
 from comfreywind.platform.wave_codec import decode_wave
 from comfreywind.platform.wire import KEY_CONFIG, PREFIX_WAVE, TABLE_OPERATOR, TABLE_SERVERS
-from comfreywind.scheduling.maintenance_row import MAINTENANCE_KEY, decode_upkeep
+from comfreywind.scheduling.maintenance_row import MAINTENANCE_KEY, decode_maintenance
 
 Cells = tuple[object, ...]
 UNREADABLE = 'unreadable'
@@ -82,7 +82,7 @@
 async def read_wave_report(rows: RowsClient) -> list[Cells]:
     """Return the waves of upkeep: number, VMs, done, most at once, seconds granted."""
     done_row = await rows.read_row(TABLE_TERM, HOLDER_PART, MAINTENANCE_KEY)
-    done = decode_upkeep(done_row.payload)
+    done = decode_maintenance(done_row.payload)
     waves: list[Cells] = []
     for row in (await rows.read_part(TABLE_OPERATOR, '')).rows:
         wave = decode_wave(row.payload or b'') if row.key.startswith(PREFIX_WAVE) else None
--- a/comfreywind/scheduling/maintenance_keeper.py
+++ b/comfreywind/scheduling/maintenance_keeper.py
@@ -33,7 +33,7 @@
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
 from comfreywind.scheduling.maintenance_row import (
     MAINTENANCE_KEY,
-    decode_upkeep,
+    decode_maintenance,
     encode_maintenance,
 )
 from comfreywind.scheduling.vm_order import VmOrder
@@ -336,7 +336,7 @@
 def _read_done(row: StoredRow) -> dict[int, set[str]]:
     """Return the VMs done in each wave; the VM service takes an upkeep that is done only once."""
     try:
-        return decode_upkeep(row.payload)
+        return decode_maintenance(row.payload)
     except RowFormatError as error:
         log.warning('all VMs of the waves count as due: %s', error)
         return {}
--- a/comfreywind/scheduling/maintenance_row.py
+++ b/comfreywind/scheduling/maintenance_row.py
@@ -13,7 +13,7 @@
     return packed
 
 
-def decode_upkeep(payload: bytes | None) -> dict[int, set[str]]:
+def decode_maintenance(payload: bytes | None) -> dict[int, set[str]]:
     """Return the names of the VMs done in each wave; raise RowFormatError for another format."""
     if not payload:
         return {}
