--- a/comfreywind/decisions/scheduling/maintenance.py
+++ b/comfreywind/decisions/scheduling/maintenance.py
@@ -45,7 +45,7 @@
         by_pool[vm.pool] = by_pool.get(vm.pool, 0) + 1
     chosen: list[WaveVm] = []
     candidates = (vm for vm in vms if vm.up and not vm.emptying)
-    for vm in sorted(candidates, key=find_upkeep_turn):
+    for vm in sorted(candidates, key=compute_maintenance_sort_key):
         if len(emptying) + len(chosen) >= limit:
             break
         share = max(1, int(pool_sizes.get(vm.pool, 0) * POOL_SHARE))
@@ -55,7 +55,7 @@
     return chosen
 
 
-def find_upkeep_turn(vm: WaveVm) -> tuple[bool, int, int, str]:
+def compute_maintenance_sort_key(vm: WaveVm) -> tuple[bool, int, int, str]:
     """Return the sort key of a VM that is due: the longest chain of upkeeps goes first."""
     return (not vm.serves, -vm.rounds, vm.work, vm.name)
 
--- a/comfreywind/scheduling/maintenance_keeper.py
+++ b/comfreywind/scheduling/maintenance_keeper.py
@@ -10,7 +10,7 @@
     WaveVm,
     choose_emptying,
     count_rounds,
-    find_upkeep_turn,
+    compute_maintenance_sort_key,
     is_blocked,
     may_go_down,
 )
@@ -207,7 +207,7 @@
             if order.confirmed_s is None and now_s - order.sent_s > REPEAT_S
         ]
         emptying = [vm for vm in waiting if vm.target_id in self._emptying_since_s]
-        turns = {each.name: find_upkeep_turn(each) for each in standings}
+        turns = {each.name: compute_maintenance_sort_key(each) for each in standings}
         emptying.sort(key=lambda vm: turns[vm.name])
         ready = [vm for vm in emptying if self._is_ready(vm, left_s)]
         named = repeated + [vm.name for vm in ready]
