--- a/comfreywind/decisions/scheduling/maintenance.py
+++ b/comfreywind/decisions/scheduling/maintenance.py
@@ -72,7 +72,7 @@
     """Tasks of a lasting step: which VMs have some at work, and how many are away."""
 
     limit: int
-    away: int
+    unavailable: int
     at_work_on: dict[str, int]
 
 
@@ -99,4 +99,4 @@
 
 
 def _breaks(step: StepHealth, vm_target: str) -> bool:
-    return step.away + step.at_work_on.get(vm_target, 0) > step.limit
+    return step.unavailable + step.at_work_on.get(vm_target, 0) > step.limit
--- a/comfreywind/scheduling/board.py
+++ b/comfreywind/scheduling/board.py
@@ -289,7 +289,7 @@
                 continue
             health = self._read_step_health(*step_key)
             here = health.at_work_on[target.entry.target_id]
-            if here > health.limit and health.away < health.limit:
+            if here > health.limit and health.unavailable < health.limit:
                 evicted.add(step_key)
                 orders.extend(self.stop_run(run, now_s))
         return orders
@@ -344,8 +344,8 @@
         for run in record.runs.values():
             if (run.key.occurrence, run.key.step) == (occurrence, number) and run.at_work:
                 at_work_on[run.target_id] = at_work_on.get(run.target_id, 0) + 1
-        away = step.task_count - sum(at_work_on.values())
-        return StepHealth(step.unavailable_limit, away, at_work_on)
+        unavailable = step.task_count - sum(at_work_on.values())
+        return StepHealth(step.unavailable_limit, unavailable, at_work_on)
 
     def _note_refusal(self, record: TargetRecord, answer: StartAnswer, now_s: float) -> None:
         if answer is StartAnswer.REPLACED:
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -248,11 +248,11 @@
     board.note_order(board.targets[first.target_id])
     rig.report(first.target_id, active=((first.key, first.run_id),))
     (health,) = board.list_step_health(board.targets[second.target_id])
-    assert health.away == 1
+    assert health.unavailable == 1
     board.take_back_order(board.targets[first.target_id])
     rig.report(first.target_id, active=((first.key, first.run_id),))
     (health,) = board.list_step_health(board.targets[second.target_id])
-    assert health.away == 0
+    assert health.unavailable == 0
 
 
 GANG = Step(3, Resources(1000, 100), gang=True)
