--- a/comfreywind/scheduling/advice.py
+++ b/comfreywind/scheduling/advice.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdviceQuestion:
+class AdviceRequest:
     """Ask which of the targets may run the step."""
 
     job_id: str
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -19,7 +19,7 @@
 from comfreywind.jobs.step import Step
 from comfreywind.jobs.task_key import TaskKey
 from comfreywind.metrics import Metrics, NoMetrics
-from comfreywind.scheduling.advice import Advice, AdviceQuestion
+from comfreywind.scheduling.advice import Advice, AdviceRequest
 from comfreywind.scheduling.board import Board
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.orders import Order, StartOrder
@@ -53,7 +53,7 @@
         self._order_work = order_work
         self._board = board
         self._advice: dict[tuple[str, int, int], Advice] = {}
-        self._questions: list[AdviceQuestion] = []
+        self._questions: list[AdviceRequest] = []
         self._refused: list[Resources] = []
         self._rooms = CapacityIndex(())
         self._now_s = float('-inf')
@@ -75,7 +75,7 @@
                 orders.extend(self._plan_pool(ready[pool], records, now_ms))
         return orders
 
-    def find_question(self, now_s: float) -> AdviceQuestion | None:
+    def find_question(self, now_s: float) -> AdviceRequest | None:
         """Return the first question that the last plan had to leave open."""
         for question in self._questions:
             advice = self._advice.get((question.job_id, question.occurrence, question.step))
@@ -83,9 +83,7 @@
                 return question
         return None
 
-    def note_advice(
-        self, question: AdviceQuestion, tickets: dict[str, str], asked_s: float
-    ) -> None:
+    def note_advice(self, question: AdviceRequest, tickets: dict[str, str], asked_s: float) -> None:
         """Take in an answer; the tickets count from the question, as the service may have."""
         key = (question.job_id, question.occurrence, question.step)
         record = self._board.jobs.get(question.job_id)
@@ -286,7 +284,7 @@
         advice = self._advice.setdefault((job_id, occurrence, number), Advice())
         named = tuple(target.entry.target_id for target in targets)[:TARGETS_PER_QUESTION]
         if _needs_question(advice, named, self._now_s):
-            self._questions.append(AdviceQuestion(job_id, occurrence, number, named))
+            self._questions.append(AdviceRequest(job_id, occurrence, number, named))
         return NO_TARGETS if self._now_s >= advice.valid_until_s else advice.tickets.keys()
 
     def _unlock_steps(self, record: JobRecord, now_ms: float) -> None:
