--- a/tests/model/test_order_reservations_model.py
+++ b/tests/model/test_order_reservations_model.py
@@ -162,5 +162,5 @@
 
 async def test_arrival_margin_taken_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a model in which every order arrives at once."""
-    monkeypatch.setattr(order_turns, 'ARRIVAL_MARGIN_S', 0)
+    monkeypatch.setattr(order_reservations, 'ARRIVAL_MARGIN_S', 0)
     assert await find_shortest_gap_s() < TURN_S
--- a/tests/scheduling/test_order_reservations.py
+++ b/tests/scheduling/test_order_reservations.py
@@ -212,7 +212,7 @@
 async def test_order_on_its_way_at_release() -> None:
     """Guards against a VM ordered within the turn of an order that was sent just before a release.
 
-    Found by tests/model/test_order_turns_model.py with seed 785: orders 2.97 s apart.
+    Found by tests/model/test_order_reservations_model.py with seed 785: orders 2.97 s apart.
     """
     rig = Rig()
     first = await rig.take_term()
