--- a/comfreywind/decisions/scheduling/__init__.py
+++ b/comfreywind/decisions/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about jobs: who holds the pools, order of work, placement."""
+"""Scheduling decisions: lease term, order of work, placement, pool sizes and maintenance."""
--- a/comfreywind/decisions/scheduling/burst.py
+++ b/comfreywind/decisions/scheduling/burst.py
@@ -1,64 +1,72 @@
-"""Recognises a demand that comes again, so that a pool grows to its former peak at once."""
+"""Recognises a recurring burst of demand, so that a pool grows to its previous peak at once."""
 
 from dataclasses import dataclass
 
-# A surge begins and ends at this part of the peak of the one before; between turns the users' queues
-# ask an eightieth of their peak.
-EDGE_PART = 0.15
-# Smaller loads are no surge: a pool's smallest size carries them.
-LEAST_PEAK_VMS = 2.0
-# A surge is another one after so long a quiet time; tasks of a burst take about a second.
+# A burst starts above this ratio of the previous burst's peak and ends below this ratio of its own.
+# Between bursts the users' queues demand 1/80 of their peak.
+EDGE_RATIO = 0.15
+# A rise to a lower peak is no burst: the smallest size of a pool carries it.
+MIN_PEAK_VMS = 2.0
+# A burst is over after this time below its edge. Its tasks take about a second, so the load may
+# drop for less time in the middle of it.
 QUIET_S = 1.0
 
 
 @dataclass(slots=True)
-class Surge:
-    """A rise of the load of a pool: its start, its peak so far and when that was reached."""
+class Burst:
+    """A rise of the load of a pool.
+
+    `peak_s` is when the peak so far was reached, and `last_above_edge_s` when the load was last
+    high enough for the burst to go on.
+    """
 
     start_s: float
     peak_vms: float = 0
     peak_s: float = 0
-    last_loud_s: float = 0
+    last_above_edge_s: float = 0
 
 
 class BurstMemory:
-    """Follows the load of one pool and tells what the surge under way will reach.
+    """Follows the load of one pool and predicts the peak of the burst in progress.
 
-    The last surge that is over is the model for the one under way, as long as it began less than
-    `memory_s` before. Loads are in VMs, times on one steady clock.
+    The burst in progress is expected to repeat the last one that is over, if that began at most
+    `memory_s` before. Loads are in VMs, times on one monotonic clock.
     """
 
     def __init__(self, memory_s: float) -> None:
-        """Start without any surge known; with a memory of 0 nothing is ever expected."""
+        """Start without any known burst; with a memory of 0 s no load is ever predicted."""
         self._memory_s = memory_s
-        self._model: Surge | None = None
-        self._current: Surge | None = None
+        self._previous: Burst | None = None
+        self._current: Burst | None = None
 
     def record_load(self, load_vms: float, now_s: float) -> float:
-        """Take in the present load and return the load to expect, 0 when nothing is known."""
-        self._follow(load_vms, now_s)
-        model, current = self._model, self._current
-        if model is None or current is None or now_s - model.start_s > self._memory_s:
+        """Record the present load and return the load to expect, or 0 without a prediction.
+
+        The peak of the previous burst is expected for as long as that burst took to reach it.
+        """
+        self._update_bursts(load_vms, now_s)
+        previous, current = self._previous, self._current
+        if previous is None or current is None or now_s - previous.start_s > self._memory_s:
             return 0
-        rise_s = model.peak_s - model.start_s
-        return model.peak_vms if now_s - current.start_s <= rise_s else 0
+        rise_s = previous.peak_s - previous.start_s
+        return previous.peak_vms if now_s - current.start_s <= rise_s else 0
 
-    def _follow(self, load_vms: float, now_s: float) -> None:
+    def _update_bursts(self, load_vms: float, now_s: float) -> None:
         current = self._current
         if current is None:
-            if load_vms > self._find_edge_vms(self._model):
-                self._current = Surge(now_s, load_vms, now_s, now_s)
+            if load_vms > self._compute_edge_vms(self._previous):
+                self._current = Burst(now_s, load_vms, now_s, now_s)
             return
         if load_vms > current.peak_vms:
             current.peak_vms = load_vms
             current.peak_s = now_s
-        if load_vms > self._find_edge_vms(current):
-            current.last_loud_s = now_s
-        elif now_s - current.last_loud_s >= QUIET_S:
+        if load_vms > self._compute_edge_vms(current):
+            current.last_above_edge_s = now_s
+        elif now_s - current.last_above_edge_s >= QUIET_S:
             self._current = None
-            if current.peak_vms >= LEAST_PEAK_VMS:
-                self._model = current
+            if current.peak_vms >= MIN_PEAK_VMS:
+                self._previous = current
 
-    def _find_edge_vms(self, surge: Surge | None) -> float:
-        peak_vms = LEAST_PEAK_VMS if surge is None else max(surge.peak_vms, LEAST_PEAK_VMS)
-        return peak_vms * EDGE_PART
+    def _compute_edge_vms(self, burst: Burst | None) -> float:
+        peak_vms = MIN_PEAK_VMS if burst is None else max(burst.peak_vms, MIN_PEAK_VMS)
+        return peak_vms * EDGE_RATIO
--- a/comfreywind/decisions/scheduling/capacity_index.py
+++ b/comfreywind/decisions/scheduling/capacity_index.py
@@ -1,4 +1,4 @@
-"""Finds the target for a task among many without a look at all of them."""
+"""Chooses the target for a task among many without a scan of all of them."""
 
 import math
 from bisect import bisect_left, insort
@@ -8,100 +8,106 @@
 from comfreywind.decisions.scheduling.placement import TargetCapacity, compute_effective_request
 from comfreywind.jobs.step import Step
 
+# What counts against a target, the most important first: the task has failed there, its VM is due
+# for maintenance, the number of tasks of the same step there, it serves users, it is in another
+# rack than the data.
 Rank = tuple[bool, bool, float, bool, bool]
 NO_TARGETS: frozenset[str] = frozenset()
 NO_COUNTS: Mapping[str, int] = {}
-# Nothing speaks against a target: not avoided, not due, not crowded, disturbs nobody, near the data.
+# Nothing counts against the target, so that the search can end.
 BEST_RANK: Rank = (False, False, 0, False, False)
-# After the rank of any target.
+# Sorts after the rank of any target.
 WORST_RANK: Rank = (True, True, math.inf, True, True)
 
 
 class CapacityIndex:
-    """Targets that may take tasks, in the order of their free processor time."""
+    """Targets that may take tasks, sorted by their free processor time."""
 
-    def __init__(self, rooms: Iterable[TargetCapacity]) -> None:
-        """Index the rooms; each target has one."""
-        self._rooms = {room.target_id: room for room in rooms}
-        self._order = sorted(map(_find_place, self._rooms.values()))
+    def __init__(self, targets: Iterable[TargetCapacity]) -> None:
+        """Index the targets; each of them occurs once."""
+        self._targets = {target.target_id: target for target in targets}
+        self._sorted_keys = sorted(map(_get_sort_key, self._targets.values()))
 
     def __iter__(self) -> Iterator[TargetCapacity]:
-        """Return the rooms in no particular order."""
-        return iter(self._rooms.values())
+        """Return the targets in no particular order."""
+        return iter(self._targets.values())
 
-    def replace(self, room: TargetCapacity) -> None:
-        """Take in what is free on a target now."""
-        self.remove(room.target_id)
-        self._rooms[room.target_id] = room
-        insort(self._order, _find_place(room))
+    def replace(self, target: TargetCapacity) -> None:
+        """Add a target, or update what is free on it."""
+        self.remove(target.target_id)
+        self._targets[target.target_id] = target
+        insort(self._sorted_keys, _get_sort_key(target))
 
     def remove(self, target_id: str) -> None:
-        """Give the target no further tasks."""
-        known = self._rooms.pop(target_id, None)
+        """Remove a target, which gets no further tasks."""
+        known = self._targets.pop(target_id, None)
         if known is not None:
-            del self._order[bisect_left(self._order, _find_place(known))]
+            del self._sorted_keys[bisect_left(self._sorted_keys, _get_sort_key(known))]
 
     def choose(
         self,
         step: Step,
         avoided: Collection[str] = NO_TARGETS,
-        same_step: Mapping[str, int] = NO_COUNTS,
+        same_step_counts: Mapping[str, int] = NO_COUNTS,
         allowed: Collection[str] | None = None,
     ) -> TargetCapacity | None:
         """Return the target for one task of the step, or None when none fits.
 
-        A lasting task keeps away from VMs that are due for upkeep, where it would soon end again.
-        Tasks of a step that bears few losses are spread, so that one VM can go down with its task.
-        Fillers keep away from tasks that serve users, whose tails they would lengthen.
-        The rack of the step's data comes first, then the target with the least free processor time:
-        tasks are packed, so that large tasks and moves of VMs find whole targets free.
+        A long-running task avoids VMs that are due for maintenance, where it would soon end again.
+        Tasks of a step with a limit of unavailable tasks are spread, so that a VM can go down with
+        its task. Best-effort tasks avoid targets with tasks that serve users, whose tail latency
+        they would raise. Targets in the rack of the step's data come first, then those with the
+        least free processor time: tasks are packed, so that large tasks and moves of VMs find whole
+        targets free.
 
-        `avoided` are targets on which the task has failed, `same_step` counts the tasks of the step
-        by target, and `allowed` are the targets that may be chosen, all of them when it is None.
+        `avoided` are targets on which the task has failed. `same_step_counts` is the number of
+        tasks of the step on each target. `allowed` are the targets to choose from, or None for all.
         """
         best: TargetCapacity | None = None
         best_rank = WORST_RANK
-        for room in self._list_fitting(step, same_step, allowed):
-            count = same_step.get(room.target_id, 0)
-            rank = _find_rank(step, room.target_id in avoided, count, room)
+        for target in self._list_fitting(step, same_step_counts, allowed):
+            count = same_step_counts.get(target.target_id, 0)
+            rank = _compute_rank(step, target.target_id in avoided, count, target)
             if rank < best_rank:
-                best, best_rank = room, rank
+                best, best_rank = target, rank
             if rank == BEST_RANK:
                 break
         return best
 
     def _list_fitting(
-        self, step: Step, same_step: Mapping[str, int], allowed: Collection[str] | None
+        self, step: Step, same_step_counts: Mapping[str, int], allowed: Collection[str] | None
     ) -> Iterator[TargetCapacity]:
-        """Return the targets that can run a task of the step, those with the least room first."""
+        """Yield the targets that can run a task of the step, least free processor time first."""
         request = compute_effective_request(step)
-        # The places of all targets with enough free processor time sort after this one.
-        start = bisect_left(self._order, (request.cpu_millicores, ''))
-        for _, target_id in islice(self._order, start, None):
+        # The keys of all targets with enough free processor time sort after this one.
+        start = bisect_left(self._sorted_keys, (request.cpu_millicores, ''))
+        for _, target_id in islice(self._sorted_keys, start, None):
             if allowed is not None and target_id not in allowed:
                 continue
-            room = self._rooms[target_id]
-            if request.fits(room.free) and _may_run(step, same_step.get(target_id, 0), room):
-                yield room
+            target = self._targets[target_id]
+            if request.fits(target.free) and _is_eligible(
+                step, same_step_counts.get(target_id, 0), target
+            ):
+                yield target
 
 
-def _find_place(room: TargetCapacity) -> tuple[int, str]:
-    return (room.free.cpu_millicores, room.target_id)
+def _get_sort_key(target: TargetCapacity) -> tuple[int, str]:
+    return (target.free.cpu_millicores, target.target_id)
 
 
-def _may_run(step: Step, same_step: int, room: TargetCapacity) -> bool:
-    if step.required_label and step.required_label not in room.labels:
+def _is_eligible(step: Step, same_step_count: int, target: TargetCapacity) -> bool:
+    if step.required_label and step.required_label not in target.labels:
         return False
-    return not (step.target_limit and same_step >= step.target_limit)
+    return not (step.target_limit and same_step_count >= step.target_limit)
 
 
-def _find_rank(step: Step, avoided: bool, same_step: int, room: TargetCapacity) -> Rank:
-    remote = bool(step.preferred_rack) and step.preferred_rack not in room.labels
-    crowd = same_step if step.unavailable_limit else 0
+def _compute_rank(step: Step, avoided: bool, same_step_count: int, target: TargetCapacity) -> Rank:
+    remote = bool(step.preferred_rack) and step.preferred_rack not in target.labels
+    spread_count = same_step_count if step.unavailable_limit else 0
     return (
         avoided,
-        step.lasting and room.maintenance_due,
-        crowd,
-        step.filler and room.serving,
+        step.lasting and target.maintenance_due,
+        spread_count,
+        step.filler and target.serving,
         remote,
     )
--- a/comfreywind/decisions/scheduling/handover.py
+++ b/comfreywind/decisions/scheduling/handover.py
@@ -1,11 +1,12 @@
-"""When a new holder may start work that an earlier one may have started."""
+"""Decides when a new holder may start tasks that an earlier holder may have started."""
 
 
 def may_settle(unseen_targets: int, roster_known: bool, waited_s: float, lapse_s: float) -> bool:
-    """Return whether no run of an earlier holder can be unseen any more.
+    """Return whether the new holder knows every run that an earlier holder started.
 
-    A target was seen once it has answered this holder, whose higher fence then keeps late orders of
-    an earlier one out. What runs on the others has lapsed `lapse_s` after the term was taken. With
-    a roster that can't be read all targets count as unseen.
+    A target that has answered this holder counts as seen: the higher fence of this holder makes it
+    refuse late orders of earlier ones. Runs on the other targets have lapsed when `lapse_s` has
+    passed since the term was taken. If the target registry can't be read, all targets count as
+    unseen.
     """
     return waited_s >= lapse_s or (roster_known and not unseen_targets)
--- a/comfreywind/decisions/scheduling/past_load.py
+++ b/comfreywind/decisions/scheduling/past_load.py
@@ -1,4 +1,4 @@
-"""Reconstructs the load of a pool from the jobs that it was given lately."""
+"""Reconstructs the recent load of a pool from the jobs that it was given."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PastWork:
-    """What the tasks of one step take together, from its start to its end by the estimates."""
+    """The resources that all tasks of one step use together, between its estimated times."""
 
     start_ms: float
     end_ms: float
@@ -25,9 +25,10 @@
 
 
 def list_past_work(job: Job) -> list[PastWork]:
-    """Return the work of a job as if every step had run when its turn came.
+    """Return the work of a job as if each step had started as soon as the steps before it ended.
 
-    Timed and lasting jobs are no part of a demand that comes by turns and have none.
+    Jobs with timed occurrences and long-running jobs don't cause bursts of demand, so the list is
+    empty for them.
     """
     if job.lasting or job.occurrence_count:
         return []
@@ -47,16 +48,16 @@
 def sample_load(
     works: Iterable[PastWork], from_ms: float, to_ms: float, interval_ms: float
 ) -> Iterator[tuple[float, Resources]]:
-    """Yield the time and the load in equal steps of time; work begun before `from_ms` is left out."""
+    """Yield the time and the load at equal intervals; work started before `from_ms` is left out."""
     changes: dict[int, Resources] = {}
     for work in works:
         if not from_ms <= work.start_ms <= to_ms:
             continue
-        first = int((work.start_ms - from_ms) // interval_ms)
-        end = max(first + 1, int((work.end_ms - from_ms) // interval_ms))
-        changes[first] = changes.get(first, NO_RESOURCES).add(work.total)
-        changes[end] = changes.get(end, NO_RESOURCES).subtract(work.total)
+        start_index = int((work.start_ms - from_ms) // interval_ms)
+        end_index = max(start_index + 1, int((work.end_ms - from_ms) // interval_ms))
+        changes[start_index] = changes.get(start_index, NO_RESOURCES).add(work.total)
+        changes[end_index] = changes.get(end_index, NO_RESOURCES).subtract(work.total)
     load = NO_RESOURCES
-    for number in range(int((to_ms - from_ms) // interval_ms)):
-        load = load.add(changes.get(number, NO_RESOURCES))
-        yield from_ms + number * interval_ms, load
+    for index in range(int((to_ms - from_ms) // interval_ms)):
+        load = load.add(changes.get(index, NO_RESOURCES))
+        yield from_ms + index * interval_ms, load
--- a/comfreywind/decisions/scheduling/placement.py
+++ b/comfreywind/decisions/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""What a task needs of a target, and which rack has room for a gang."""
+"""Computes what a task needs of a target, and chooses a rack that fits all tasks of a step."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetCapacity:
-    """A target that may take a task: what is free on it, and whether tasks there serve users.
+    """The free capacity of a target that may take a task, and what else decides about it.
 
-    `due` tells that its VM goes down for upkeep soon.
+    `serving` tells that tasks there serve users, `maintenance_due` that its VM goes down for
+    maintenance soon.
     """
 
     target_id: str
@@ -22,22 +23,23 @@
 
 
 def compute_effective_request(step: Step) -> Resources:
-    """Return what a task takes from the room of a target: a filler takes no processor time."""
+    """Return what a task reserves on a target; a best-effort task reserves no processor time."""
     if not step.filler:
         return step.request
     return Resources(0, step.request.memory_mb, step.request.accelerators)
 
 
-def choose_rack(step: Step, rooms: Iterable[TargetCapacity]) -> str | None:
-    """Return a label whose targets have room for all tasks of the step, the scarcest that has.
+def choose_rack(step: Step, targets: Iterable[TargetCapacity]) -> str | None:
+    """Return the label whose targets fit all tasks of the step with the fewest slots to spare.
 
-    A rack is one of the labels of a target. Without such a label the tasks may go anywhere.
+    A rack is one of the labels of a target. None means that no rack fits all tasks, so that they
+    may go anywhere.
     """
     slots_by_label: dict[str, int] = {}
     request = compute_effective_request(step)
-    for room in rooms:
-        for label in room.labels:
-            slots = count_slots(request, room.free)
+    for target in targets:
+        for label in target.labels:
+            slots = count_slots(request, target.free)
             slots_by_label[label] = slots_by_label.get(label, 0) + slots
     sufficient = [
         (slots, label) for label, slots in slots_by_label.items() if slots >= step.task_count
@@ -46,10 +48,10 @@
 
 
 def count_slots(request: Resources, free: Resources) -> int:
-    """Return how many such requests fit beside each other."""
+    """Return how many such requests fit together; a request for nothing counts once."""
     pairs = (
         (request.cpu_millicores, free.cpu_millicores),
         (request.memory_mb, free.memory_mb),
         (request.accelerators, free.accelerators),
     )
-    return min((room // need for need, room in pairs if need), default=1)
+    return min((available // needed for needed, available in pairs if needed), default=1)
--- a/comfreywind/decisions/scheduling/pool_policy.py
+++ b/comfreywind/decisions/scheduling/pool_policy.py
@@ -1,4 +1,4 @@
-"""The settings by which pools are sized."""
+"""The settings that decide the size of pools."""
 
 from dataclasses import dataclass
 
@@ -7,22 +7,23 @@
 class PoolPolicy:
     """How large pools are for their load, and how fast they grow and shrink.
 
-    `target_fill` is the part of a pool that its load should fill, because a burst grows faster than
-    VMs move. `spare_vms` are kept beyond the load, as one is soon lost to a failure or an upkeep.
-    A pool keeps `base_part` of an even share of all VMs, and at least `smallest_pool`, so that the
-    first jobs of a burst start while others are on their way.
-    A pool gives a VM up only after it has had too many for `shrink_after_s`. `arrival_limit` bounds
-    the VMs that move into a pool at the same time; 6 of them delayed the first starts of a burst by
-    up to ten seconds on deployments of 180 VMs.
+    `target_fill` is the ratio of a pool that its load should fill; the rest absorbs a burst, which
+    grows faster than VMs move. `spare_vms` are kept beyond that, because a failure or maintenance
+    may take a VM at any time. A pool keeps at least the ratio `base_part` of an even share of all
+    VMs, and at least `smallest_pool` VMs, so that the first jobs of a burst start while more VMs
+    are on their way.
+    A pool gives VMs up only after it has had a surplus for `shrink_after_s`. `arrival_limit` bounds
+    the VMs that move into a pool at the same time; a limit of 6 delayed the first starts of a burst
+    by up to 10 s on deployments of 180 VMs.
 
-    A rise of the load that follows a quiet time is taken for the next turn of a demand that comes
-    and goes: within `surge_memory_s` of an earlier one the pool grows to that one's peak at once.
+    A rise of the load after a quiet period counts as a recurring burst: within `surge_memory_s` of
+    the start of an earlier burst, the pool grows to the peak of that one at once.
 
-    While the demand surely rises, the pool grows to the load that is forecast for the time when VMs
-    ordered now take work, at most to `growth_limit` times the present load.
+    While the demand rises significantly, the pool grows to the load that is forecast for the time
+    when VMs ordered now take work, at most to `growth_limit` times the present load.
 
-    `base_part`, `shrink_after_s` and `surge_memory_s` earned the most, less the price of VM time, in
-    `comfreywind lab` on turns-small and turns-grown.
+    The defaults of `base_part`, `shrink_after_s` and `surge_memory_s` maximise the worth earned
+    less the price of VM time in the scenarios turns-small and turns-grown of `comfreywind lab`.
     """
 
     target_fill: float = 0.7
--- a/comfreywind/decisions/scheduling/pool_size.py
+++ b/comfreywind/decisions/scheduling/pool_size.py
@@ -1,4 +1,4 @@
-"""How many VMs each pool should have now, and which empty ones move."""
+"""Decides how many VMs each pool should have, and which idle VMs move."""
 
 import math
 from collections.abc import Collection, Iterable
@@ -11,12 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolLoad:
-    """Load of a pool in VMs (work that runs or waits), its VMs and those on their way to it.
-
-    `idle_vms` are those without any run. `surplus_for_s` is for how long it has had too many.
-    `expected_vms` is the load that a surge under way will reach by what is known of earlier ones.
-    `even_share_vms` is what the pool would have if all VMs were dealt evenly, and `vms_for_long_running`
-    how many empty VMs its lasting tasks wait for.
+    """The load of a pool, its VMs and those on their way to it.
+
+    `load_vms` is the work that runs or waits, in VMs. `usable` counts the VMs that take new work,
+    and `arriving` those on their way. `idle_vms` names the VMs without any run. `surplus_for_s` is
+    for how long the pool has had more VMs than it wants. `expected_vms` is the load to expect from
+    a burst in progress or a rising demand. `even_share_vms` is what the pool would have if all VMs
+    were divided evenly, and `vms_for_long_running` how many empty VMs its waiting long-running
+    tasks need.
     """
 
     pool: str
@@ -39,19 +41,21 @@
     pool: str
 
 
-def find_wanted(load: PoolLoad, policy: PoolPolicy = DEFAULT_POLICY) -> int:
+def compute_wanted_vms(load: PoolLoad, policy: PoolPolicy = DEFAULT_POLICY) -> int:
     """Return how many VMs the pool should have for its load."""
-    filled = max(load.load_vms, load.expected_vms) / policy.target_fill
-    base = math.ceil(policy.base_part * load.even_share_vms)
-    sized = max(policy.smallest_pool, base, math.ceil(filled) + policy.spare_vms)
+    needed_vms = max(load.load_vms, load.expected_vms) / policy.target_fill
+    base_vms = math.ceil(policy.base_part * load.even_share_vms)
+    wanted_vms = max(policy.smallest_pool, base_vms, math.ceil(needed_vms) + policy.spare_vms)
     return (
-        max(sized, load.usable) + load.vms_for_long_running if load.vms_for_long_running else sized
+        max(wanted_vms, load.usable) + load.vms_for_long_running
+        if load.vms_for_long_running
+        else wanted_vms
     )
 
 
 def compute_surplus_vms(load: PoolLoad, policy: PoolPolicy = DEFAULT_POLICY) -> int:
-    """Return how many VMs the pool could give up, negative when it lacks some."""
-    return load.usable + load.arriving - find_wanted(load, policy)
+    """Return how many VMs the pool has beyond those it wants; negative when it lacks some."""
+    return load.usable + load.arriving - compute_wanted_vms(load, policy)
 
 
 def _sort_by_need(loads: Iterable[PoolLoad], surplus_by_pool: dict[str, int]) -> list[PoolLoad]:
@@ -59,30 +63,35 @@
 
 
 def choose_moves(loads: Collection[PoolLoad], policy: PoolPolicy = DEFAULT_POLICY) -> list[VmMove]:
-    """Return the moves: into pools that lack VMs, then out of pools that have had too many.
+    """Return the moves: into pools that lack VMs, then to standby out of pools with a surplus.
 
-    Pools that lack VMs get them from standby first, then from pools with a surplus.
+    Pools that lack VMs get them from standby first, then from pools with a surplus. VMs move to
+    standby only from pools whose surplus has lasted long enough.
     """
     surplus_by_pool = {load.pool: compute_surplus_vms(load, policy) for load in loads}
-    working = [load for load in loads if not load.standby]
-    standby = [load for load in loads if load.standby]
-    offered = [vm for load in standby for vm in load.idle_vms]
-    given_up = {load.pool: load.idle_vms[: max(0, surplus_by_pool[load.pool])] for load in working}
-    surplus = [vm for vms in given_up.values() for vm in vms]
+    working_loads = [load for load in loads if not load.standby]
+    standby_loads = [load for load in loads if load.standby]
+    standby_vms = [vm for load in standby_loads for vm in load.idle_vms]
+    surplus_vms_by_pool = {
+        load.pool: load.idle_vms[: max(0, surplus_by_pool[load.pool])] for load in working_loads
+    }
+    surplus_vms = [vm for vms in surplus_vms_by_pool.values() for vm in vms]
     moves: list[VmMove] = []
-    for load in _sort_by_need(working, surplus_by_pool):
+    for load in _sort_by_need(working_loads, surplus_by_pool):
         lacking = min(-surplus_by_pool[load.pool], policy.arrival_limit - load.arriving)
         for _ in range(max(0, lacking)):
-            source = offered or surplus
+            source = standby_vms or surplus_vms
             if not source:
                 return moves
             moves.append(VmMove(source.pop(0), load.pool))
-    if not standby:
+    if not standby_loads:
         return moves
     moved = {move.vm for move in moves}
-    for load in working:
+    for load in working_loads:
         if load.surplus_for_s >= policy.shrink_after_s:
             moves.extend(
-                VmMove(vm, standby[0].pool) for vm in given_up[load.pool] if vm not in moved
+                VmMove(vm, standby_loads[0].pool)
+                for vm in surplus_vms_by_pool[load.pool]
+                if vm not in moved
             )
     return moves
--- a/comfreywind/decisions/scheduling/work_order.py
+++ b/comfreywind/decisions/scheduling/work_order.py
@@ -1,4 +1,4 @@
-"""In which order the jobs of a pool get room."""
+"""Decides the order in which the jobs of a pool get free capacity."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.step import Step
 
-# A caller gets a part of the worth of a job up to this multiple of its objective.
+# A late job still earns a fraction of its worth up to this multiple of its latency objective.
 LATE_FACTOR = 3
 DEFAULT_ESTIMATE_MS = 1000
 NO_STEPS: frozenset[int] = frozenset()
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobUrgency:
-    """What decides the turn of a job; times in milliseconds on one clock.
+    """What decides how urgent a job is; times in milliseconds on one clock.
 
-    `remaining_ms` is the longest chain of work that is left. `excess` marks work that its team
-    handed in beyond its weight.
+    `remaining_ms` is the critical path of the work that is left. `excess` marks work beyond the
+    share of its team by weight. A lower `priority` goes first.
     """
 
     lasting: bool
@@ -31,22 +31,22 @@
 SortKeyFunction = Callable[[JobUrgency, float], tuple[float, ...]]
 
 
-def compute_sort_key(standing: JobUrgency, now_ms: float) -> tuple[float, ...]:
-    """Return the sort key of a job: lasting tasks, then jobs that can be on time, then the others.
+def compute_sort_key(urgency: JobUrgency, now_ms: float) -> tuple[float, ...]:
+    """Return the sort key of a job: long-running, then able to be on time, then late.
 
-    Lasting tasks are few and serve users all the time. A job that can no longer meet its objective
-    waits behind those that can, because its worth then is a fraction; among late jobs those that
-    are done soonest come first.
+    Long-running jobs are few and serve users all the time. A job that can no longer meet its
+    objective waits behind those that can, because it earns only a fraction of its worth. Among late
+    jobs, those that can be done soonest come first.
     """
-    if standing.lasting:
-        return (0, standing.accepted_ms)
-    due_ms = standing.accepted_ms + standing.objective_ms
-    on_time = now_ms + standing.remaining_ms <= due_ms
+    if urgency.lasting:
+        return (0, urgency.accepted_ms)
+    due_ms = urgency.accepted_ms + urgency.objective_ms
+    on_time = now_ms + urgency.remaining_ms <= due_ms
     if on_time:
-        return (2 if standing.excess else 1, standing.priority, due_ms)
-    latest_ms = standing.accepted_ms + LATE_FACTOR * standing.objective_ms
-    hopeless = now_ms + standing.remaining_ms > latest_ms
-    return (4 if hopeless else 3, standing.priority, standing.remaining_ms)
+        return (2 if urgency.excess else 1, urgency.priority, due_ms)
+    latest_ms = urgency.accepted_ms + LATE_FACTOR * urgency.objective_ms
+    worthless = now_ms + urgency.remaining_ms > latest_ms
+    return (4 if worthless else 3, urgency.priority, urgency.remaining_ms)
 
 
 def estimate_task_ms(step: Step) -> float:
@@ -57,12 +57,12 @@
 def compute_critical_path_ms(
     steps: tuple[Step, ...], done_steps: frozenset[int] = NO_STEPS
 ) -> float:
-    """Return the longest chain of estimates over the steps that are not done."""
-    chain_ms: list[float] = []
+    """Return the critical path through the steps that aren't done, by their estimates."""
+    path_ms: list[float] = []
     for number, step in enumerate(steps):
         own_ms = 0 if number in done_steps else estimate_task_ms(step)
-        chain_ms.append(own_ms + max((chain_ms[earlier] for earlier in step.after), default=0))
-    return max(chain_ms, default=0)
+        path_ms.append(own_ms + max((path_ms[earlier] for earlier in step.after), default=0))
+    return max(path_ms, default=0)
 
 
 def compute_objective_ms(job: Job) -> float:
--- a/tests/scheduling/test_capacity_index.py
+++ b/tests/scheduling/test_capacity_index.py
@@ -110,14 +110,14 @@
 def test_looks_per_start(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a holder that takes longer for each start the larger the fleet is."""
     looks = 0
-    find_rank = capacity_index._find_rank
+    compute_rank = capacity_index._compute_rank
 
     def count_look(*arguments: object) -> capacity_index.Rank:
         nonlocal looks
         looks += 1
-        return find_rank(*arguments)  # type: ignore[arg-type]
+        return compute_rank(*arguments)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(capacity_index, '_find_rank', count_look)
+    monkeypatch.setattr(capacity_index, '_compute_rank', count_look)
     rig = BoardRig(targets=TARGETS, cpu=32_000)
     for number in range(200):
         steps = (Step(8, Resources(4_500, 100)),)
