--- a/comfreywind/decisions/scheduling/burst.py
+++ b/comfreywind/decisions/scheduling/burst.py
@@ -29,32 +29,32 @@
 class BurstMemory:
     """Follows the load of one pool and predicts the peak of the burst in progress.
 
-    The burst in progress is expected to repeat the last one that is over, if that began at most
+    The last burst that is over is the model for the one in progress, if it began at most
     `memory_s` before. Loads are in VMs, times on one monotonic clock.
     """
 
     def __init__(self, memory_s: float) -> None:
         """Start without any known burst; with a memory of 0 s no load is ever predicted."""
         self._memory_s = memory_s
-        self._previous: Burst | None = None
+        self._model: Burst | None = None
         self._current: Burst | None = None
 
     def record_load(self, load_vms: float, now_s: float) -> float:
         """Record the present load and return the load to expect, or 0 without a prediction.
 
-        The peak of the previous burst is expected for as long as that burst took to reach it.
+        The peak of the model is expected for as long as that burst took to reach it.
         """
-        self._update_bursts(load_vms, now_s)
-        previous, current = self._previous, self._current
-        if previous is None or current is None or now_s - previous.start_s > self._memory_s:
+        self._follow(load_vms, now_s)
+        model, current = self._model, self._current
+        if model is None or current is None or now_s - model.start_s > self._memory_s:
             return 0
-        rise_s = previous.peak_s - previous.start_s
-        return previous.peak_vms if now_s - current.start_s <= rise_s else 0
+        rise_s = model.peak_s - model.start_s
+        return model.peak_vms if now_s - current.start_s <= rise_s else 0
 
-    def _update_bursts(self, load_vms: float, now_s: float) -> None:
+    def _follow(self, load_vms: float, now_s: float) -> None:
         current = self._current
         if current is None:
-            if load_vms > self._compute_edge_vms(self._previous):
+            if load_vms > self._compute_edge_vms(self._model):
                 self._current = Burst(now_s, load_vms, now_s, now_s)
             return
         if load_vms > current.peak_vms:
@@ -65,7 +65,7 @@
         elif now_s - current.last_above_edge_s >= QUIET_S:
             self._current = None
             if current.peak_vms >= MIN_PEAK_VMS:
-                self._previous = current
+                self._model = current
 
     def _compute_edge_vms(self, burst: Burst | None) -> float:
         peak_vms = MIN_PEAK_VMS if burst is None else max(burst.peak_vms, MIN_PEAK_VMS)
--- a/comfreywind/decisions/scheduling/capacity_index.py
+++ b/comfreywind/decisions/scheduling/capacity_index.py
@@ -16,17 +16,17 @@
 NO_COUNTS: Mapping[str, int] = {}
 # Nothing counts against the target, so that the search can end.
 BEST_RANK: Rank = (False, False, 0, False, False)
-# Sorts after the rank of any target.
+# After the rank of any target.
 WORST_RANK: Rank = (True, True, math.inf, True, True)
 
 
 class CapacityIndex:
-    """Targets that may take tasks, sorted by their free processor time."""
+    """Targets that may take tasks, in the order of their free processor time."""
 
     def __init__(self, targets: Iterable[TargetCapacity]) -> None:
-        """Index the targets; each of them occurs once."""
+        """Index the targets, whose ids are unique."""
         self._targets = {target.target_id: target for target in targets}
-        self._sorted_keys = sorted(map(_get_sort_key, self._targets.values()))
+        self._order = sorted(map(_get_sort_key, self._targets.values()))
 
     def __iter__(self) -> Iterator[TargetCapacity]:
         """Return the targets in no particular order."""
@@ -36,37 +36,37 @@
         """Add a target, or update what is free on it."""
         self.remove(target.target_id)
         self._targets[target.target_id] = target
-        insort(self._sorted_keys, _get_sort_key(target))
+        insort(self._order, _get_sort_key(target))
 
     def remove(self, target_id: str) -> None:
         """Remove a target, which gets no further tasks."""
         known = self._targets.pop(target_id, None)
         if known is not None:
-            del self._sorted_keys[bisect_left(self._sorted_keys, _get_sort_key(known))]
+            del self._order[bisect_left(self._order, _get_sort_key(known))]
 
     def choose(
         self,
         step: Step,
         avoided: Collection[str] = NO_TARGETS,
-        same_step_counts: Mapping[str, int] = NO_COUNTS,
+        same_step: Mapping[str, int] = NO_COUNTS,
         allowed: Collection[str] | None = None,
     ) -> TargetCapacity | None:
         """Return the target for one task of the step, or None when none fits.
 
-        A long-running task avoids VMs that are due for maintenance, where it would soon end again.
-        Tasks of a step with a limit of unavailable tasks are spread, so that a VM can go down with
-        its task. Best-effort tasks avoid targets with tasks that serve users, whose tail latency
-        they would raise. Targets in the rack of the step's data come first, then those with the
-        least free processor time: tasks are packed, so that large tasks and moves of VMs find whole
-        targets free.
+        Long-running tasks avoid VMs that are due for maintenance, where they would soon end again.
+        Tasks of a step that limits its unavailable tasks are spread, so that a VM can go down with
+        one of them.
+        Best-effort tasks avoid targets that serve users, whose tail latency they would raise.
+        The rack of the step's data comes first, then the target with the least free processor time:
+        tasks are packed, so that large tasks and moves of VMs find whole targets free.
 
-        `avoided` are targets on which the task has failed. `same_step_counts` is the number of
-        tasks of the step on each target. `allowed` are the targets to choose from, or None for all.
+        `avoided` are targets on which the task has failed, `same_step` counts the tasks of the step
+        by target, and `allowed` are the targets that may be chosen, all of them when it is None.
         """
         best: TargetCapacity | None = None
         best_rank = WORST_RANK
-        for target in self._list_fitting(step, same_step_counts, allowed):
-            count = same_step_counts.get(target.target_id, 0)
+        for target in self._list_fitting(step, same_step, allowed):
+            count = same_step.get(target.target_id, 0)
             rank = _compute_rank(step, target.target_id in avoided, count, target)
             if rank < best_rank:
                 best, best_rank = target, rank
@@ -75,18 +75,18 @@
         return best
 
     def _list_fitting(
-        self, step: Step, same_step_counts: Mapping[str, int], allowed: Collection[str] | None
+        self, step: Step, same_step: Mapping[str, int], allowed: Collection[str] | None
     ) -> Iterator[TargetCapacity]:
         """Yield the targets that can run a task of the step, least free processor time first."""
         request = compute_effective_request(step)
         # The keys of all targets with enough free processor time sort after this one.
-        start = bisect_left(self._sorted_keys, (request.cpu_millicores, ''))
-        for _, target_id in islice(self._sorted_keys, start, None):
+        start = bisect_left(self._order, (request.cpu_millicores, ''))
+        for _, target_id in islice(self._order, start, None):
             if allowed is not None and target_id not in allowed:
                 continue
             target = self._targets[target_id]
             if request.fits(target.free) and _is_eligible(
-                step, same_step_counts.get(target_id, 0), target
+                step, same_step.get(target_id, 0), target
             ):
                 yield target
 
@@ -95,15 +95,15 @@
     return (target.free.cpu_millicores, target.target_id)
 
 
-def _is_eligible(step: Step, same_step_count: int, target: TargetCapacity) -> bool:
+def _is_eligible(step: Step, count: int, target: TargetCapacity) -> bool:
     if step.required_label and step.required_label not in target.labels:
         return False
-    return not (step.target_limit and same_step_count >= step.target_limit)
+    return not (step.target_limit and count >= step.target_limit)
 
 
-def _compute_rank(step: Step, avoided: bool, same_step_count: int, target: TargetCapacity) -> Rank:
+def _compute_rank(step: Step, avoided: bool, count: int, target: TargetCapacity) -> Rank:
     remote = bool(step.preferred_rack) and step.preferred_rack not in target.labels
-    spread_count = same_step_count if step.unavailable_limit else 0
+    spread_count = count if step.unavailable_limit else 0
     return (
         avoided,
         step.lasting and target.maintenance_due,
