--- a/comfreywind/scheduling/advice.py
+++ b/comfreywind/scheduling/advice.py
@@ -1,13 +1,15 @@
-"""Tickets of one step, as the advice service gave them."""
+"""Tickets of the advice service, without which the tasks of some steps may not start."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
 class Advice:
-    """`tickets` maps approved targets to their tickets; `asked` are the targets asked about.
+    """The answers of the advice service for one step.
 
-    Approval never changes, but tickets end at `valid_until_s` on the holder's steady clock.
+    `asked` are the targets that it was asked about, and `tickets` maps those that it approved to
+    their tickets. Approval never changes, but tickets expire at `valid_until_s` on the holder's
+    monotonic clock.
     """
 
     asked: set[str] = field(default_factory=set)
@@ -17,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdviceRequest:
-    """Ask which of the targets may run the step."""
+    """A request for the targets that may run the tasks of a step."""
 
     job_id: str
     occurrence: int
@@ -26,5 +28,5 @@
 
     @property
     def step_id(self) -> str:
-        """Return the name of the step."""
+        """Return the name by which the advice service knows the step."""
         return f'{self.job_id}.{self.occurrence}.{self.step}'
--- a/comfreywind/scheduling/advice_keeper.py
+++ b/comfreywind/scheduling/advice_keeper.py
@@ -1,4 +1,4 @@
-"""Asks the advice service for the steps whose tasks wait for it."""
+"""Requests tickets for the steps whose tasks may not start without them."""
 
 import logging
 from collections.abc import Callable
@@ -10,38 +10,41 @@
 from comfreywind.platform.advice_client import AdviceClient
 from comfreywind.scheduling.planner import Planner
 
-IDLE_S = 0.05
+POLL_INTERVAL_S = 0.05
 RETRY_S = 0.3
 
 log = logging.getLogger('comfreywind.advice')
 
 
 class AdviceKeeper:
-    """The holder's task for advice; one question at a time, because the service takes no more."""
+    """The task of the holder for advice.
+
+    It sends one request at a time, because the service takes no more.
+    """
 
     def __init__(
-        self, client: AdviceClient, planner: Planner, clock: Clock, wake: Callable[[], None]
+        self, client: AdviceClient, planner: Planner, clock: Clock, wake_planner: Callable[[], None]
     ) -> None:
-        """Answer the questions of the planner; `wake` has it plan again."""
+        """Send the requests of the planner; `wake_planner` has it plan again with the tickets."""
         self._client = client
         self._planner = planner
         self._clock = clock
-        self._wake = wake
+        self._wake_planner = wake_planner
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send requests until cancelled."""
         while True:
-            question = self._planner.find_question(self._clock.read_monotonic_s())
-            if question is None:
-                await trio.sleep(IDLE_S)
+            request = self._planner.find_question(self._clock.read_monotonic_s())
+            if request is None:
+                await trio.sleep(POLL_INTERVAL_S)
                 continue
-            asked_s = self._clock.read_monotonic_s()
+            sent_s = self._clock.read_monotonic_s()
             try:
-                tickets = await self._client.ask(question.step_id, list(question.target_ids))
+                tickets = await self._client.ask(request.step_id, list(request.target_ids))
             except StoreUnavailableError as error:
-                log.info('%s', error)
+                log.info('advice not received, retrying: %s', error)
                 await trio.sleep(RETRY_S)
                 continue
-            self._planner.note_advice(question, tickets, asked_s)
-            log.info('step %s: %d targets approved', question.step_id, len(tickets))
-            self._wake()
+            self._planner.note_advice(request, tickets, sent_s)
+            log.info('step %s: advice service approved %d targets', request.step_id, len(tickets))
+            self._wake_planner()
--- a/comfreywind/scheduling/maintenance_keeper.py
+++ b/comfreywind/scheduling/maintenance_keeper.py
@@ -1,4 +1,4 @@
-"""Carries out the waves of upkeep that the operator asks for."""
+"""Carries out the maintenance waves that the operator asks for."""
 
 import logging
 from collections.abc import Callable, Collection
@@ -40,11 +40,12 @@
 from comfreywind.scheduling.vm_watch import VmWatch
 
 INTERVAL_S = 0.3
-# Nothing is ordered from a list that is older.
+# Nothing is ordered by a list of VMs that is older.
 LIST_AGE_LIMIT_S = 2.5
-# An order without an answer is sent again after this time; the service takes it once.
-REPEAT_S = 1.3
-# A VM that is up as the same target so long after the service's 200 had its upkeep before.
+# An order without an answer is sent again after this time; the service carries it out only once.
+RESEND_AFTER_S = 1.3
+# The service also answers 200 when the maintenance of the VM was done before. That is the case when
+# the VM is still up as the same target after this time.
 ALREADY_DONE_S = 2.0
 NO_TARGETS: frozenset[str] = frozenset()
 
@@ -52,13 +53,13 @@
 
 
 class MaintenanceKeeper:
-    """The holder's task for waves; it owns the orders that are under way."""
+    """The task of the holder for maintenance waves; it owns the orders in progress."""
 
     def __init__(
         self,
         term: HeldTerm,
         node: str,
-        turns: OrderReservations,
+        reservations: OrderReservations,
         rows: RowsClient,
         vm_client: VmClient,
         watch: VmWatch,
@@ -68,10 +69,10 @@
         clock: Clock,
         publish: Callable[[list[Order]], None],
     ) -> None:
-        """Use the holder's parts; `publish` sends orders and has the holder plan again."""
+        """Use the components of the holder; `publish` sends orders and triggers a new plan."""
         self._term = term
         self._node = node
-        self._reservations = turns
+        self._reservations = reservations
         self._rows = rows
         self._vm_client = vm_client
         self._watch = watch
@@ -85,28 +86,28 @@
         self._done: dict[int, set[str]] = {}
         self._done_version = 0
         self._stored_count = 0
-        self._told: dict[int, bool] = {}
+        self._published_complete: dict[int, bool] = {}
 
     async def run(self) -> None:
-        """Work on the open waves until cancelled."""
+        """Carry out the open waves until cancelled."""
         await self._load()
         while True:
-            # The list shows which VMs have gone down, so that their tasks start elsewhere.
+            # A new list shows which VMs have gone down, so that their tasks start elsewhere.
             await self._watch.wait_for_read(INTERVAL_S)
             try:
-                await self._step()
+                await self._advance_all()
             except StoreUnavailableError as error:
-                log.info('waves wait: %s', error)
+                log.info('maintenance waves paused, next attempt follows: %s', error)
 
     def is_busy(self) -> bool:
-        """Return whether a wave is not complete."""
+        """Return whether a wave isn't complete, so that a fresh list of VMs is needed."""
         return bool(self._list_open())
 
     def _list_open(self) -> list[UpkeepWave]:
         return [
             wave
             for number, wave in self._rules.waves.items()
-            if self._orders.get(number) or not self._told.get(number, False)
+            if self._orders.get(number) or not self._published_complete.get(number, False)
         ]
 
     async def _load(self) -> None:
@@ -114,7 +115,7 @@
             try:
                 row = await self._rows.read_row(TABLE_TERM, HOLDER_PART, MAINTENANCE_KEY)
             except StoreUnavailableError as error:
-                log.info('upkeep not read yet: %s', error)
+                log.info('maintenance row not read, retrying: %s', error)
                 await trio.sleep(INTERVAL_S)
             else:
                 self._done = _read_done(row)
@@ -122,7 +123,7 @@
                 self._stored_count = sum(map(len, self._done.values()))
                 return
 
-    async def _step(self) -> None:
+    async def _advance_all(self) -> None:
         now_s = self._clock.read_monotonic_s()
         stale = self._watch.get_list_age_s(now_s) > LIST_AGE_LIMIT_S
         if stale or not self._keeper.is_valid():
@@ -133,7 +134,7 @@
     async def _advance(self, wave: UpkeepWave, now_s: float) -> None:
         done = self._done.setdefault(wave.wave, set())
         orders = self._orders.setdefault(wave.wave, {})
-        self._settle_orders(orders, done, now_s)
+        self._complete_orders(orders, done, now_s)
         await self._store_done()
         due_vms = [
             self._watch.vms[name]
@@ -141,7 +142,7 @@
             if name in self._watch.vms and name not in done
         ]
         self._mark_due(due_vms)
-        await self._tell(wave, complete=not due_vms)
+        await self._publish_wave(wave, complete=not due_vms)
         await self._empty_and_order(wave, due_vms, orders, now_s)
 
     def _mark_due(self, due_vms: list[Vm]) -> None:
@@ -150,7 +151,7 @@
             if record is not None:
                 record.maintenance_due = True
 
-    def _settle_orders(self, orders: dict[str, VmOrder], done: set[str], now_s: float) -> None:
+    def _complete_orders(self, orders: dict[str, VmOrder], done: set[str], now_s: float) -> None:
         for name, order in list(orders.items()):
             vm = self._watch.vms.get(name)
             if vm is None:
@@ -158,13 +159,13 @@
                 continue
             if not vm.up or vm.target_id != order.target_id:
                 self._drop_target(order.target_id, now_s)
-            if self._is_back(vm, order, now_s):
-                log.info('VM %s: upkeep done after %.1f s', name, now_s - order.sent_s)
+            if self._is_done(vm, order, now_s):
+                log.info('VM %s: maintenance done after %.1f s', name, now_s - order.sent_s)
                 done.add(name)
                 del orders[name]
-                self._keep_working(order.target_id)
+                self._resume_work(order.target_id)
 
-    def _is_back(self, vm: Vm, order: VmOrder, now_s: float) -> bool:
+    def _is_done(self, vm: Vm, order: VmOrder, now_s: float) -> bool:
         if not vm.up:
             return False
         if vm.target_id != order.target_id:
@@ -179,7 +180,7 @@
         if record is not None:
             record.leaving = True
 
-    def _keep_working(self, target_id: str) -> None:
+    def _resume_work(self, target_id: str) -> None:
         record = self._board.targets.get(target_id)
         if record is not None:
             record.maintenance_due = False
@@ -195,35 +196,35 @@
             if vm.name not in orders and self._reservations.may_reserve(vm.name)
         ]
         due_targets = frozenset(vm.target_id for vm in waiting)
-        standings = [self._describe(vm, now_s, due_targets) for vm in waiting]
-        others = self._find_others_down(wave)
-        room = max(0, wave.limit - len(orders.keys() | others))
-        for chosen in choose_emptying(standings, self._count_pools(), room):
+        wave_vms = [self._describe_vm(vm, now_s, due_targets) for vm in waiting]
+        others = self._list_other_down_vms(wave)
+        emptying_limit = max(0, wave.limit - len(orders.keys() | others))
+        for chosen in choose_emptying(wave_vms, self._count_vms_by_pool(), emptying_limit):
             self._start_emptying(self._watch.vms[chosen.name], now_s)
         left_s = self._rules.find_wave_end_s(wave.wave) - now_s
-        repeated = [
+        unconfirmed = [
             order.vm
             for order in orders.values()
-            if order.confirmed_s is None and now_s - order.sent_s > REPEAT_S
+            if order.confirmed_s is None and now_s - order.sent_s > RESEND_AFTER_S
         ]
         emptying = [vm for vm in waiting if vm.target_id in self._emptying_since_s]
-        turns = {each.name: compute_maintenance_sort_key(each) for each in standings}
-        emptying.sort(key=lambda vm: turns[vm.name])
+        sort_keys = {each.name: compute_maintenance_sort_key(each) for each in wave_vms}
+        emptying.sort(key=lambda vm: sort_keys[vm.name])
         ready = [vm for vm in emptying if self._is_ready(vm, left_s)]
-        named = repeated + [vm.name for vm in ready]
-        if not named or not await self._reservations.reserve(named):
+        reserved = unconfirmed + [vm.name for vm in ready]
+        if not reserved or not await self._reservations.reserve(reserved):
             return
         for vm in ready:
             if len(orders.keys() | others) < wave.limit:
                 await self._order_if_empty(wave, vm, orders, left_s)
-        # The list may have been read anew while the orders were announced, without some VMs.
-        listed = [self._watch.vms[name] for name in repeated if name in self._watch.vms]
+        # A list that was read during the reservation may lack some of these VMs.
+        listed = [self._watch.vms[name] for name in unconfirmed if name in self._watch.vms]
         for vm in listed:
             await self._order(wave, vm, orders)
         await self._store_done()
 
-    def _find_others_down(self, wave: UpkeepWave) -> set[str]:
-        """Return the VMs that are down for upkeep, or may be as an earlier holder ordered them lately."""
+    def _list_other_down_vms(self, wave: UpkeepWave) -> set[str]:
+        """Return the VMs in maintenance, and those that an earlier holder may have ordered."""
         listed = self._watch.vms
         return {
             name
@@ -233,25 +234,25 @@
         }
 
     def _is_ready(self, vm: Vm, left_s: float) -> bool:
-        """Return whether a VM that is being emptied may go down; move tasks that are in the way."""
+        """Return whether a VM that is being emptied may go down; evict tasks that block it."""
         now_s = self._clock.read_monotonic_s()
-        standing = self._describe(vm, now_s)
-        if standing.blocked:
+        wave_vm = self._describe_vm(vm, now_s)
+        if wave_vm.blocked:
             self._evict(vm, now_s)
-        return may_go_down(standing, left_s)
+        return may_go_down(wave_vm, left_s)
 
     async def _order_if_empty(
         self, wave: UpkeepWave, vm: Vm, orders: dict[str, VmOrder], left_s: float
     ) -> None:
-        # Work may have come to the VM, and others of its steps may be away, since it was looked at.
-        if may_go_down(self._describe(vm, self._clock.read_monotonic_s()), left_s):
+        # During the reservation the VM may have got work, and its steps further unavailable tasks.
+        if may_go_down(self._describe_vm(vm, self._clock.read_monotonic_s()), left_s):
             await self._order(wave, vm, orders)
 
-    def _count_pools(self) -> dict[str, int]:
-        sizes: dict[str, int] = {}
+    def _count_vms_by_pool(self) -> dict[str, int]:
+        counts: dict[str, int] = {}
         for vm in self._watch.vms.values():
-            sizes[vm.pool] = sizes.get(vm.pool, 0) + 1
-        return sizes
+            counts[vm.pool] = counts.get(vm.pool, 0) + 1
+        return counts
 
     def _evict(self, vm: Vm, now_s: float) -> None:
         record = self._board.targets.get(vm.target_id)
@@ -264,7 +265,9 @@
             record.emptying = True
         self._emptying_since_s[vm.target_id] = now_s
 
-    def _describe(self, vm: Vm, now_s: float, due_targets: Collection[str] = NO_TARGETS) -> WaveVm:
+    def _describe_vm(
+        self, vm: Vm, now_s: float, due_targets: Collection[str] = NO_TARGETS
+    ) -> WaveVm:
         record = self._board.targets.get(vm.target_id)
         since_s = self._emptying_since_s.get(vm.target_id)
         work = 0 if record is None else self._board.count_short_runs(record)
@@ -276,13 +279,13 @@
             emptying=since_s is not None,
             emptying_for_s=0 if since_s is None else now_s - since_s,
             work=work,
-            blocked=self._is_unheard(record, now_s) or is_blocked(vm.target_id, health),
+            blocked=self._may_have_unknown_runs(record, now_s) or is_blocked(vm.target_id, health),
             serves=any(step.limit for step in health),
             rounds=count_rounds(due_targets, health),
         )
 
-    def _is_unheard(self, record: TargetRecord | None, now_s: float) -> bool:
-        """Return whether the target may have runs of an earlier holder that are not known here."""
+    def _may_have_unknown_runs(self, record: TargetRecord | None, now_s: float) -> bool:
+        """Return whether the target may have runs of an earlier holder not known to this one."""
         if record is None or record.reported:
             return False
         return now_s - self._term.taken_s < UNSEEN_LAPSE_S
@@ -297,18 +300,18 @@
         order = orders.setdefault(vm.name, VmOrder(vm.name, vm.target_id, now_s))
         order.sent_s = now_s
         answer = await self._vm_client.maintain(vm.name, wave.wave, self._node, self._term.epoch)
-        log.info('VM %s: upkeep in wave %d: %s', vm.name, wave.wave, answer)
+        log.info('VM %s: maintenance ordered in wave %d: %s', vm.name, wave.wave, answer)
         if answer is VmOrderAnswer.DONE:
             order.confirmed_s = self._clock.read_monotonic_s()
-            # The upkeep has begun; a later holder must not order it again.
+            # The maintenance has begun; a later holder must not order it again.
             self._done[wave.wave].add(vm.name)
             self._watch.request_read()
         elif answer is VmOrderAnswer.REFUSED:
             del orders[vm.name]
-            self._keep_working(vm.target_id)
+            self._resume_work(vm.target_id)
 
     async def _store_done(self) -> None:
-        """Store which VMs have had their upkeep, or are down for it, when there are more."""
+        """Store the VMs whose maintenance is done or has begun, when there are more of them."""
         count = sum(map(len, self._done.values()))
         if count == self._stored_count:
             return
@@ -323,20 +326,24 @@
         else:
             self._stored_count = count
 
-    async def _tell(self, wave: UpkeepWave, complete: bool) -> None:
-        """Tell the operator how far the wave is; complete once, when nothing is due."""
-        if self._told.get(wave.wave) is complete:
+    async def _publish_wave(self, wave: UpkeepWave, complete: bool) -> None:
+        """Write the state of the wave for the operator, when it has changed."""
+        if self._published_complete.get(wave.wave) is complete:
             return
         change = RowChange(TABLE_STATUS, f'{PREFIX_WAVE}{wave.wave}', encode_wave_state(complete))
         await self._rows.commit('', [change])
-        self._told[wave.wave] = complete
-        log.info('wave %d: %s', wave.wave, 'complete' if complete else 'in progress')
+        self._published_complete[wave.wave] = complete
+        log.info('maintenance wave %d: %s', wave.wave, 'complete' if complete else 'in progress')
 
 
 def _read_done(row: StoredRow) -> dict[int, set[str]]:
-    """Return the VMs done in each wave; the VM service takes an upkeep that is done only once."""
+    """Return the VMs done by wave.
+
+    Without a readable row all VMs count as due. That is safe, because the VM service doesn't carry
+    out a maintenance again that is done.
+    """
     try:
         return decode_maintenance(row.payload)
     except RowFormatError as error:
-        log.warning('all VMs of the waves count as due: %s', error)
+        log.warning('maintenance row unreadable, so all VMs of the waves are due: %s', error)
         return {}
--- a/comfreywind/scheduling/maintenance_row.py
+++ b/comfreywind/scheduling/maintenance_row.py
@@ -1,4 +1,4 @@
-"""The row that keeps which VMs of each wave have had their upkeep."""
+"""The row that names the VMs of each wave whose maintenance is done or has begun."""
 
 import msgpack
 
@@ -8,7 +8,7 @@
 
 
 def encode_maintenance(done: dict[int, set[str]]) -> bytes:
-    """Return the row."""
+    """Return the row; `done` holds the names of VMs by wave."""
     packed: bytes = msgpack.packb({wave: sorted(names) for wave, names in done.items()})
     return packed
 
--- a/comfreywind/scheduling/order_reservations.py
+++ b/comfreywind/scheduling/order_reservations.py
@@ -1,4 +1,4 @@
-"""Keeps orders of two holders for one VM apart."""
+"""Reservations of VMs, which keep the orders of two holders for one VM apart in time."""
 
 import logging
 import math
@@ -14,81 +14,85 @@
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.term_keeper import HeldTerm
 
-# A VM stays in the row for longer than its turn, as the clocks of two holders differ.
+# A VM stays in the row for this time after its reservation ends, as the clocks of holders differ.
 KEEP_MARGIN_S = 1.0
-# Orders that are announced together have to be sent within this time of it, besides the time that the
-# store takes for the row, or be announced again.
+# An order has to be sent within this time of its reservation, besides the time that the store takes
+# for the row. After that the VM has to be reserved again.
 SEND_WINDOW_S = 0.6
-# An announcement is repeated when less than this is left of its window.
-LEAST_WINDOW_S = 0.3
-# From the last look at the window to the arrival of the order at the service.
+# A VM is reserved again when less than this is left of its send window.
+MIN_WINDOW_S = 0.3
+# Maximum time from the last check of the send window to the arrival of the order at the service.
 ARRIVAL_MARGIN_S = 0.4
-# How many times the last store call's duration the window is longer: for this call, and a slower one.
+# The send window is longer by this many times the duration of the last store call: once for the
+# call that stores the reservation, and once more in case that it is slower.
 STORE_CALLS_PER_WINDOW = 2
 MS_PER_S = 1000
-# No turn after it is ever over by the store's clock.
+# Stands for an unknown end of a send window: by the store's clock such a reservation never ends.
 TIME_UNKNOWN_MS = math.inf
 
 log = logging.getLogger('comfreywind.vms')
 
 
 class OrderReservations:
-    """Stores which VMs are about to be ordered, and until when, before they are.
+    """Stores in a row which VMs are about to be ordered, and the end of their send windows.
 
-    Orders of two holders for one VM keep a distance of `turn_s`. A later holder leaves a VM in the row
-    alone until that has passed since the last moment at which the order may have been sent, by the
-    store's clock, or since it has taken the term. It may order all others at once.
+    Orders of two holders for one VM are at least `reservation_s` apart. A later holder orders a VM
+    of the row only when that time has passed since the end of its send window, by the store's
+    clock, or since the holder has taken the term. It may order all other VMs at once.
     """
 
-    def __init__(self, rows: RowsClient, term: HeldTerm, turn_s: float, clock: Clock) -> None:
-        """Use the store's client; nothing may be ordered before the row was loaded."""
+    def __init__(
+        self, rows: RowsClient, term: HeldTerm, reservation_s: float, clock: Clock
+    ) -> None:
+        """Use the client of the store; no VM may be ordered before `load` has read the row."""
         self._rows = rows
         self._term = term
-        self._turn_s = turn_s
+        self._reservation_s = reservation_s
         self._clock = clock
-        self._earlier_ms: dict[str, float] = {}
-        self._all_wait = False
+        self._earlier_until_ms: dict[str, float] = {}
+        self._all_reserved = False
         self._send_until_s: dict[str, float] = {}
         self._until_ms: dict[str, float] = {}
         self._store_call_s: float = 0
         self._version = 0
 
     async def load(self) -> None:
-        """Read what earlier holders ordered; raise StoreUnavailableError without an answer."""
+        """Read earlier holders' reservations; raise StoreUnavailableError without an answer."""
         row = await self._rows.read_row(TABLE_TERM, HOLDER_PART, ORDERS_KEY)
         self._version = row.version
-        self._earlier_ms = self._read_row(row)
+        self._earlier_until_ms = self._read_row(row)
 
     def may_reserve(self, vm: str) -> bool:
-        """Return whether no earlier holder can have ordered the VM within the turn."""
-        if self._is_over():
+        """Return whether no reservation of an earlier holder keeps the VM from being ordered."""
+        if self._is_earlier_expired():
             return True
-        if self._all_wait:
+        if self._all_reserved:
             return False
-        return vm not in self._earlier_ms or self._is_past(self._earlier_ms[vm])
+        return vm not in self._earlier_until_ms or self._is_expired(self._earlier_until_ms[vm])
 
     def may_send(self, vm: str) -> bool:
-        """Return whether an order for the VM is announced for this moment."""
+        """Return whether the send window of the VM is open."""
         return self._clock.read_monotonic_s() <= self._send_until_s.get(vm, -math.inf)
 
     async def reserve(self, vms: Collection[str]) -> bool:
-        """Store that the VMs are about to be ordered; return False when they must not be yet."""
+        """Store reservations of the VMs; return False when they must not be ordered yet."""
         now_s = self._clock.read_monotonic_s()
-        if all(self._send_until_s.get(vm, -math.inf) - now_s >= LEAST_WINDOW_S for vm in vms):
+        if all(self._send_until_s.get(vm, -math.inf) - now_s >= MIN_WINDOW_S for vm in vms):
             return True
         window_s = SEND_WINDOW_S + STORE_CALLS_PER_WINDOW * self._store_call_s
-        until_ms = self._find_store_ms(now_s + window_s)
-        wanted = self._list_recent() | dict.fromkeys(vms, until_ms)
-        change = RowChange(TABLE_TERM, ORDERS_KEY, encode_ordered_vms(wanted), self._version)
+        until_ms = self._get_latest_store_ms(now_s + window_s)
+        reserved = self._list_unexpired() | dict.fromkeys(vms, until_ms)
+        change = RowChange(TABLE_TERM, ORDERS_KEY, encode_ordered_vms(reserved), self._version)
         try:
             self._version = await self._rows.commit(HOLDER_PART, [change])
         except RowsChangedError as error:
-            # A commit of ours without an answer, as the term's row keeps other holders away.
+            # An own commit whose answer was lost has changed the row, because the row of the term
+            # keeps other holders from writing.
             for row in error.rows:
                 self._version = row.version
             return False
         except StoreUnavailableError as error:
-            log.info('%d VMs are not ordered yet: %s', len(vms), error)
+            log.info('%d VMs not reserved, so they are ordered later: %s', len(vms), error)
             return False
         finally:
             self._store_call_s = self._clock.read_monotonic_s() - now_s
@@ -96,58 +100,64 @@
         self._send_until_s.update(dict.fromkeys(vms, now_s + window_s))
         return True
 
-    def _is_over(self) -> bool:
-        """Return whether the turn of any earlier holder is over."""
+    def _is_earlier_expired(self) -> bool:
+        """Return whether all reservations of earlier holders have expired since the takeover."""
         waited_s = self._clock.read_monotonic_s() - self._term.taken_s
-        return self._term.epoch == 1 or waited_s >= self._turn_s + ARRIVAL_MARGIN_S
+        return self._term.epoch == 1 or waited_s >= self._reservation_s + ARRIVAL_MARGIN_S
 
-    def _find_store_ms(self, at_s: float) -> float:
-        """Return an upper bound of the store's clock at the moment."""
+    def _get_latest_store_ms(self, at_s: float) -> float:
+        """Return an upper bound of the store's clock at that time."""
         store_time = self._rows.store_time
         return TIME_UNKNOWN_MS if store_time is None else store_time.find_latest_ms(at_s)
 
-    def _is_past(self, until_ms: float, margin_s: float = 0) -> bool:
-        """Return whether the turn after the moment is over."""
+    def _is_expired(self, until_ms: float, margin_s: float = 0) -> bool:
+        """Return whether a reservation has expired whose send window ended at that time."""
         store_time = self._rows.store_time
         if store_time is None:
             return False
         now_ms = store_time.find_earliest_ms(self._clock.read_monotonic_s())
         waited_s = (now_ms - until_ms) / MS_PER_S
-        return waited_s >= self._turn_s + ARRIVAL_MARGIN_S + margin_s
-
-    def _list_recent(self) -> dict[str, float]:
-        """Return the VMs that a later holder has to leave alone."""
-        known = self._until_ms if self._is_forgotten() else self._earlier_ms | self._until_ms
+        return waited_s >= self._reservation_s + ARRIVAL_MARGIN_S + margin_s
+
+    def _list_unexpired(self) -> dict[str, float]:
+        """Return the VMs that a later holder must not order yet, with the ends of their windows."""
+        known = (
+            self._until_ms
+            if self._is_earlier_obsolete()
+            else self._earlier_until_ms | self._until_ms
+        )
         return {
             vm: until_ms
             for vm, until_ms in known.items()
-            if not self._is_past(until_ms, KEEP_MARGIN_S)
+            if not self._is_expired(until_ms, KEEP_MARGIN_S)
         }
 
-    def _is_forgotten(self) -> bool:
-        """Return whether no later holder needs to know of earlier ones."""
+    def _is_earlier_obsolete(self) -> bool:
+        """Return whether later holders no longer need the reservations of earlier ones."""
         waited_s = self._clock.read_monotonic_s() - self._term.taken_s
-        return waited_s >= self._turn_s + KEEP_MARGIN_S
+        return waited_s >= self._reservation_s + KEEP_MARGIN_S
 
     def _read_row(self, row: StoredRow) -> dict[str, float]:
         try:
             return decode_ordered_vms(row.payload)
         except RowFormatError as error:
-            log.warning('all VMs wait for the turn of an earlier holder: %s', error)
-            self._all_wait = True
+            log.warning(
+                'no VM is ordered until all reservations of earlier holders expire: %s', error
+            )
+            self._all_reserved = True
             return {}
 
 
 def encode_ordered_vms(until_ms: Mapping[str, float]) -> bytes:
-    """Return the row that tells until when on the store's clock VMs may have been ordered."""
+    """Return the row with the end of the send window of each VM by the store's clock."""
     packed: bytes = msgpack.packb(dict(sorted(until_ms.items())))
     return packed
 
 
 def decode_ordered_vms(payload: bytes | None) -> dict[str, float]:
-    """Return the VMs and their times; raise RowFormatError when the row can't be read.
+    """Return the VMs and the ends of their send windows; raise RowFormatError for another format.
 
-    Nodes of the version before wrote the names alone, without times.
+    Nodes of the previous version wrote a list of the names, without times.
     """
     if not payload:
         return {}
@@ -156,5 +166,5 @@
         if isinstance(document, list):
             return dict.fromkeys(map(str, document), TIME_UNKNOWN_MS)
         if not isinstance(document, dict):
-            raise RowFormatError('row of ordered VMs: not a map of times')
+            raise RowFormatError('row of ordered VMs: expected a map of VM names to times')
         return {str(vm): float(until_ms) for vm, until_ms in document.items()}
--- a/comfreywind/scheduling/pool_keeper.py
+++ b/comfreywind/scheduling/pool_keeper.py
@@ -1,4 +1,4 @@
-"""Moves VMs to the pools that have work, and idle ones to standby."""
+"""Moves VMs to pools that need them, and idle VMs to standby."""
 
 import logging
 
@@ -15,19 +15,20 @@
 
 INTERVAL_S = 0.2
 MS_PER_S = 1000
+# No move is ordered by a list of VMs that is older.
 LIST_AGE_LIMIT_S = 2.5
 
 log = logging.getLogger('comfreywind.pools')
 
 
 class PoolKeeper:
-    """The holder's task for the sizes of pools."""
+    """The task of the holder that keeps pools at their size."""
 
     def __init__(
         self,
         term: HeldTerm,
         node: str,
-        turns: OrderReservations,
+        reservations: OrderReservations,
         vm_client: VmClient,
         watch: VmWatch,
         rules: RulesFollower,
@@ -35,41 +36,41 @@
         sizer: PoolSizer,
         clock: Clock,
     ) -> None:
-        """Use the holder's parts."""
+        """Use the components of the holder."""
         self._term = term
         self._node = node
-        self._reservations = turns
+        self._reservations = reservations
         self._vm_client = vm_client
         self._watch = watch
         self._rules = rules
         self._keeper = keeper
         self._sizer = sizer
         self._clock = clock
-        self._wants_list = True
-        self._recalled = False
+        self._needs_list = True
+        self._past_load_replayed = False
 
     async def run(self) -> None:
-        """Compare load and size in a fixed period until cancelled."""
+        """Compare the load and the size of the pools every INTERVAL_S until cancelled."""
         while True:
             await trio.sleep(INTERVAL_S)
             rules = self._rules.rules
             if rules is None:
                 continue
             now_s = self._clock.read_monotonic_s()
-            if not self._recalled:
-                self._recall(now_s)
+            if not self._past_load_replayed:
+                self._replay_past_load(now_s)
             moves = self._sizer.choose(rules.pools.values(), self._watch.vms, now_s)
-            self._wants_list = bool(moves) or self._sizer.has_moves()
+            self._needs_list = bool(moves) or self._sizer.has_moves()
             fresh = self._watch.get_list_age_s(now_s) < LIST_AGE_LIMIT_S
             if moves and fresh and self._keeper.is_valid():
                 await self._order_all(moves)
 
     def is_busy(self) -> bool:
-        """Return whether a fresh list of VMs is needed."""
-        return self._wants_list
+        """Return whether a fresh list of VMs is needed, because moves are wanted or in progress."""
+        return self._needs_list
 
-    def _recall(self, now_s: float) -> None:
-        self._recalled = True
+    def _replay_past_load(self, now_s: float) -> None:
+        self._past_load_replayed = True
         now_ms = self._clock.read_utc().timestamp() * MS_PER_S
         self._sizer.replay_past_load(now_s, now_ms)
 
@@ -81,13 +82,15 @@
                 nursery.start_soon(self._order, move)
 
     async def _order(self, move: VmMove) -> None:
-        # The list may have been read anew since the move was chosen, without this VM.
+        # A newer list may lack the VM, which was chosen from an older one.
         vm = self._watch.vms.get(move.vm)
         if vm is None or not self._keeper.is_valid():
             return
         if not self._sizer.start_move(vm, move.pool, self._clock.read_monotonic_s()):
             return
         answer = await self._vm_client.move(vm.name, move.pool, self._node, self._term.epoch)
-        log.info('VM %s: move from %s to %s: %s', vm.name, vm.pool, move.pool, answer)
+        log.info(
+            'VM %s: ordered to move from pool %s to %s: %s', vm.name, vm.pool, move.pool, answer
+        )
         if answer is VmOrderAnswer.REFUSED:
             self._sizer.cancel_move(vm)
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -1,4 +1,4 @@
-"""Decides which VMs move between pools, from the board and the list of VMs."""
+"""Decides which VMs move between pools, from the scheduler state and the list of VMs."""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping
@@ -18,27 +18,30 @@
 from comfreywind.scheduling.pool_work import PoolWork, group_by_pool
 from comfreywind.scheduling.vm_order import VmOrder
 
-# An order without an answer may still be carried out for so long.
-LATE_ORDER_S = 13.0
-# From the order of a move until the list shows the VM up again, as long as no move was seen.
-USUAL_MOVE_S = 1.7
-# Weight of the last move in the mean.
+# An ordered move may still be carried out within this time. After it the VM takes work again.
+ORDER_TIMEOUT_S = 13.0
+# Initial estimate of the time from the order of a move until the list shows the VM up again.
+INITIAL_MOVE_S = 1.7
+# Weight of the latest move in the moving average of that time.
 MOVE_WEIGHT = 0.2
 
 log = logging.getLogger('comfreywind.pools')
 
 
-def _always_open(vm: str) -> bool:
+def _always_reservable(vm: str) -> bool:
     return True
 
 
 class PoolSizer:
-    """Owns the moves that are under way; it has no sockets and no clock of its own."""
+    """Owns the moves in progress; it has no sockets and no clock of its own."""
 
     def __init__(
-        self, board: Board, policy: PoolPolicy, may_reserve: Callable[[str], bool] = _always_open
+        self,
+        board: Board,
+        policy: PoolPolicy,
+        may_reserve: Callable[[str], bool] = _always_reservable,
     ) -> None:
-        """Size the pools of the board's targets; `may_reserve` tells which VMs may be ordered now."""
+        """Size the pools of the scheduler state; `may_reserve` tells which VMs may be ordered."""
         self._is_open = may_reserve
         self._board = board
         self._policy = policy
@@ -46,31 +49,31 @@
         self._destinations: dict[str, str] = {}
         self._surplus_since_s: dict[str, float] = {}
         self._demand = DemandWatch(board, policy)
-        self._move_s = USUAL_MOVE_S
+        self._move_s = INITIAL_MOVE_S
 
     def replay_past_load(self, now_s: float, now_ms: float) -> None:
-        """Learn from the jobs on the board which turns of demand earlier holders have met."""
+        """Learn from the known jobs which bursts of demand occurred under earlier holders."""
         self._demand.replay_past_load(now_s, now_ms)
 
     def choose(self, pools: Iterable[Pool], vms: Mapping[str, Vm], now_s: float) -> list[VmMove]:
-        """Return the moves to order now, after a look at those that are under way."""
-        self._settle(vms, now_s)
-        works = self._group_by_pool(vms)
-        self._demand.record_new_jobs(works, now_s)
-        known = tuple(pools)
-        even_share = len(vms) / len(known) if known else 0
+        """Update the moves in progress by the list of VMs, and return the moves to order now."""
+        self._update_orders(vms, now_s)
+        work_by_pool = self._group_by_pool(vms)
+        self._demand.record_new_jobs(work_by_pool, now_s)
+        known_pools = tuple(pools)
+        even_share_vms = len(vms) / len(known_pools) if known_pools else 0
         loads = [
-            self._describe(pool, works.get(pool.name, PoolWork()), even_share, now_s)
-            for pool in known
+            self._measure_load(pool, work_by_pool.get(pool.name, PoolWork()), even_share_vms, now_s)
+            for pool in known_pools
         ]
         return choose_moves(loads, self._policy)
 
     def has_moves(self) -> bool:
-        """Return whether a move is under way."""
+        """Return whether a move is in progress."""
         return bool(self._orders)
 
     def start_move(self, vm: Vm, pool: str, now_s: float) -> bool:
-        """Note that the move is about to be ordered; return False when the VM has work now."""
+        """Empty the VM and record its move before the order; return False if the VM has runs."""
         record = self._board.targets.get(vm.target_id)
         if record is not None and record.runs:
             return False
@@ -81,45 +84,45 @@
         return True
 
     def cancel_move(self, vm: Vm) -> None:
-        """Note that the move will not happen; the VM works on."""
-        self._release(vm.target_id)
-        self._forget(vm.name)
+        """Discard the move, which will not happen, so that the VM takes work again."""
+        self._resume_work(vm.target_id)
+        self._remove_order(vm.name)
 
-    def _settle(self, vms: Mapping[str, Vm], now_s: float) -> None:
+    def _update_orders(self, vms: Mapping[str, Vm], now_s: float) -> None:
         for name, order in list(self._orders.items()):
             vm = vms.get(name)
             if vm is None:
-                self._forget(name)
+                self._remove_order(name)
             elif vm.up and vm.target_id != order.target_id:
                 self._move_s += MOVE_WEIGHT * (now_s - order.sent_s - self._move_s)
-                self._forget(name)
+                self._remove_order(name)
             else:
-                self._give_up_late(order, now_s)
+                self._cancel_if_overdue(order, now_s)
 
-    def _give_up_late(self, order: VmOrder, now_s: float) -> None:
-        if now_s - order.sent_s > LATE_ORDER_S:
-            log.info('VM %s: move was not carried out', order.vm)
-            self._release(order.target_id)
-            self._forget(order.vm)
+    def _cancel_if_overdue(self, order: VmOrder, now_s: float) -> None:
+        if now_s - order.sent_s > ORDER_TIMEOUT_S:
+            log.info('VM %s: not moved in time, so it takes work again', order.vm)
+            self._resume_work(order.target_id)
+            self._remove_order(order.vm)
 
-    def _forget(self, name: str) -> None:
+    def _remove_order(self, name: str) -> None:
         del self._orders[name]
         del self._destinations[name]
 
-    def _release(self, target_id: str) -> None:
+    def _resume_work(self, target_id: str) -> None:
         record = self._board.targets.get(target_id)
         if record is not None:
             self._board.take_back_order(record)
 
     def _group_by_pool(self, vms: Mapping[str, Vm]) -> dict[str, PoolWork]:
-        works = group_by_pool(self._board)
+        work_by_pool = group_by_pool(self._board)
         for vm in vms.values():
-            works.setdefault(vm.pool, PoolWork()).vms.append(vm)
+            work_by_pool.setdefault(vm.pool, PoolWork()).vms.append(vm)
         for pool in self._destinations.values():
-            works.setdefault(pool, PoolWork()).arriving += 1
-        return works
+            work_by_pool.setdefault(pool, PoolWork()).arriving += 1
+        return work_by_pool
 
-    def _describe(
+    def _measure_load(
         self, pool: Pool, work: PoolWork, even_share_vms: float, now_s: float
     ) -> PoolLoad:
         load_vms = work.compute_load_vms()
@@ -146,7 +149,7 @@
         record = self._board.targets.get(vm.target_id)
         if record is None:
             return standby
-        # What runs on a target that has not answered this holder is not known.
-        heard = record.reported and not record.silent
+        # The runs on a target that has not reported to this holder are not known.
+        known = record.reported and not record.silent
         busy = record.runs or record.emptying or record.entry.draining or record.leaving
-        return heard and not busy
+        return known and not busy
--- a/comfreywind/scheduling/pool_work.py
+++ b/comfreywind/scheduling/pool_work.py
@@ -1,4 +1,4 @@
-"""What a pool has and what it has to do, as the board shows it at one moment."""
+"""The work and the VMs of each pool at one moment, by the scheduler state."""
 
 import math
 from dataclasses import dataclass, field
@@ -13,7 +13,10 @@
 
 @dataclass(slots=True)
 class PoolWork:
-    """The targets of a pool, its open jobs of which tasks wait, its VMs and those on their way to it."""
+    """The targets, open jobs with waiting tasks and VMs of a pool.
+
+    `arriving` counts the VMs on their way to it.
+    """
 
     targets: list[TargetRecord] = field(default_factory=list)
     waiting: list[JobRecord] = field(default_factory=list)
@@ -23,7 +26,8 @@
     def compute_load_vms(self) -> float:
         """Return the work that runs or waits, in VMs of the pool's mean size.
 
-        The resource that is scarcest counts: tasks may fill the memory of VMs whose processors idle.
+        The scarcest resource decides, because tasks may fill the memory of VMs whose processors are
+        idle.
         """
         capacity = sum_resources(target.entry.capacity for target in self.targets)
         running = sum_resources(target.used for target in self.targets)
@@ -35,10 +39,10 @@
         return len(self.targets) * running.add(waiting).find_largest_part(capacity)
 
     def count_vms_for_long_running(self) -> int:
-        """Return how many empty VMs the lasting tasks that wait would take.
+        """Return how many empty VMs the waiting long-running tasks need.
 
-        They start first, so what waits has found no room: free memory or processor time is spread
-        over the VMs in pieces that are too small.
+        Long-running tasks start before others, so one that waits fits on no target: the free memory
+        or processor time is scattered over the VMs in pieces that are too small for it.
         """
         vms = 0
         for record in self.waiting:
@@ -46,27 +50,27 @@
                 continue
             step = record.job.steps[next(iter(record.waiting)).step]
             request = compute_effective_request(step)
-            fitting = max(
-                (count_slots(request, each.entry.capacity) for each in self.targets), default=1
+            slots_per_vm = max(
+                (count_slots(request, target.entry.capacity) for target in self.targets), default=1
             )
-            slots = min(fitting, step.target_limit or fitting)
+            slots = min(slots_per_vm, step.target_limit or slots_per_vm)
             vms += math.ceil(len(record.waiting) / max(1, slots))
         return vms
 
 
 def group_by_pool(board: Board) -> dict[str, PoolWork]:
-    """Return the work of every pool that has targets or waiting jobs, in one pass over the board."""
-    works: dict[str, PoolWork] = {}
+    """Return the work of every pool that has targets or waiting jobs, in one pass."""
+    work_by_pool: dict[str, PoolWork] = {}
     for target in board.targets.values():
-        works.setdefault(target.entry.pool, PoolWork()).targets.append(target)
+        work_by_pool.setdefault(target.entry.pool, PoolWork()).targets.append(target)
     for record in board.open_jobs.values():
         if record.waiting:
-            works.setdefault(board.find_pool(record), PoolWork()).waiting.append(record)
-    return works
+            work_by_pool.setdefault(board.find_pool(record), PoolWork()).waiting.append(record)
+    return work_by_pool
 
 
 def compute_mean_capacity(targets: list[TargetRecord]) -> Resources:
-    """Return the mean capacity of some targets."""
+    """Return the mean capacity of the targets."""
     total = sum_resources(target.entry.capacity for target in targets)
     count = max(1, len(targets))
     return Resources(
--- a/comfreywind/scheduling/vm_order.py
+++ b/comfreywind/scheduling/vm_order.py
@@ -1,11 +1,14 @@
-"""An order to the VM service whose outcome is still awaited."""
+"""An order to the VM service that is in progress."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class VmOrder:
-    """Sent for a VM that was the given target; `confirmed_s` is when the service said 200."""
+    """An order for a VM, which was the target `target_id` when it was sent.
+
+    `confirmed_s` is when the service answered with status 200, or None before.
+    """
 
     vm: str
     target_id: str
--- a/tests/model/test_order_reservations_model.py
+++ b/tests/model/test_order_reservations_model.py
@@ -150,7 +150,11 @@
 
 @pytest.mark.parametrize(
     ('name', 'broken'),
-    [('may_send', _send_always), ('may_reserve', _open_always), ('_is_forgotten', _forget_at_once)],
+    [
+        ('may_send', _send_always),
+        ('may_reserve', _open_always),
+        ('_is_earlier_obsolete', _forget_at_once),
+    ],
 )
 async def test_protection_taken_out(
     monkeypatch: pytest.MonkeyPatch, name: str, broken: Callable[..., bool]
