--- a/comfreywind/lab/emulator.py
+++ b/comfreywind/lab/emulator.py
@@ -43,7 +43,7 @@
         self._model = model
         self._arrivals = {arrival.job.job_id: arrival for arrival in arrivals}
         self._state = SchedulerState(1)
-        self._planner = Planner(self._state, policy.find_turn)
+        self._planner = Planner(self._state, policy.compute_sort_key)
         self._sizer = None if policy.pools is None else PoolSizer(self._state, policy.pools)
         self._events: list[tuple[float, int, Act]] = []
         self._numbers = itertools.count()
@@ -113,7 +113,7 @@
     def _size_pools(self, sizer: PoolSizer) -> None:
         pools = self._state.rules.pools.values()
         for move in sizer.choose(pools, self._listed, self._now_s):
-            if sizer.begin(self._listed[move.vm], move.pool, self._now_s):
+            if sizer.start_move(self._listed[move.vm], move.pool, self._now_s):
                 self._move(self._vms[move.vm], move.pool)
         self._at(self._now_s + INTERVAL_S, partial(self._size_pools, sizer))
 
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -7,7 +7,7 @@
 import trio
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.scheduling.pool_size import USUAL_POLICY
+from comfreywind.decisions.scheduling.pool_size import DEFAULT_POLICY
 from comfreywind.errors import StoreUnavailableError
 from comfreywind.jobs.ended_job import EndedJob
 from comfreywind.jobs.job_codec import decode_intake_row, decode_progress
@@ -31,7 +31,8 @@
 from comfreywind.platform.wire import TABLE_SERVERS
 from comfreywind.scheduling.advice_keeper import AdviceKeeper
 from comfreywind.scheduling.job_retention import RETENTION_MARGIN_S, JobRetention
-from comfreywind.scheduling.order_turns import OrderTurns
+from comfreywind.scheduling.maintenance_keeper import MaintenanceKeeper
+from comfreywind.scheduling.order_reservations import OrderReservations
 from comfreywind.scheduling.orders import Order
 from comfreywind.scheduling.planner import Planner
 from comfreywind.scheduling.pool_keeper import PoolKeeper
@@ -44,7 +45,6 @@
 from comfreywind.scheduling.target_link import MAX_HOLD_WAIT_S, TargetLink
 from comfreywind.scheduling.target_registry import TargetRegistry
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
-from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
 from comfreywind.settings.address import Address
 from comfreywind.settings.node import NodeSettings
@@ -90,7 +90,9 @@
         self.scheduler_state = SchedulerState(term.epoch)
         self._planner = Planner(self.scheduler_state, metrics=metrics)
         self.journal = ProgressJournal(rows, self.scheduler_state)
-        self._turns = OrderTurns(rows, term, settings.timings.order_turn_s, clock)
+        self._reservations = OrderReservations(
+            rows, term, settings.timings.order_reservation_s, clock
+        )
         self._links: dict[str, TargetLink] = {}
         self._nursery: trio.Nursery | None = None
         self._wake = trio.Event()
@@ -173,7 +175,7 @@
 
     def _may_order_vm(self, vm: str) -> bool:
         """Return whether an order for the VM may be sent at this moment."""
-        return self._may_order() and self._turns.may_send(vm)
+        return self._may_order() and self._reservations.may_send(vm)
 
     def _start(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
         if self._nursery is not None:
@@ -197,7 +199,7 @@
                 return
 
     async def _read_state(self) -> None:
-        await run_concurrently((self._read_progress, self._registry.load, self._turns.load))
+        await run_concurrently((self._read_progress, self._registry.load, self._reservations.load))
 
     async def _read_progress(self) -> None:
         for page in await self._rows.read_partitions(TABLE_PROGRESS, PROGRESS_PARTITIONS):
@@ -230,7 +232,7 @@
         """Return whether the VM list shows that this incarnation of the target has ended."""
         return self._watch is not None and self._watch.is_dead(target_id, self._term.taken_s)
 
-    def _needs_vm_list(self, upkeep: UpkeepKeeper, pools: PoolKeeper) -> bool:
+    def _needs_vm_list(self, upkeep: MaintenanceKeeper, pools: PoolKeeper) -> bool:
         return upkeep.is_busy() or pools.is_busy() or self._has_unconfirmed_runs()
 
     def _has_unconfirmed_runs(self) -> bool:
@@ -245,23 +247,23 @@
         return PoolKeeper(
             self._term,
             self._settings.name,
-            self._turns,
+            self._reservations,
             client,
             watch,
             self._rules,
             self._keeper,
-            PoolSizer(self.scheduler_state, USUAL_POLICY, self._turns.is_open),
+            PoolSizer(self.scheduler_state, DEFAULT_POLICY, self._reservations.may_reserve),
             self._clock,
         )
 
     def _wake_planner(self) -> None:
         self._wake.set()
 
-    def _make_maintenance_keeper(self, client: VmClient, watch: VmWatch) -> UpkeepKeeper:
-        return UpkeepKeeper(
+    def _make_maintenance_keeper(self, client: VmClient, watch: VmWatch) -> MaintenanceKeeper:
+        return MaintenanceKeeper(
             self._term,
             self._settings.name,
-            self._turns,
+            self._reservations,
             self._rows,
             client,
             watch,
--- a/comfreywind/scheduling/job_record.py
+++ b/comfreywind/scheduling/job_record.py
@@ -2,7 +2,10 @@
 
 from dataclasses import dataclass, field
 
-from comfreywind.decisions.scheduling.work_order import find_chain_ms, find_objective_ms
+from comfreywind.decisions.scheduling.work_order import (
+    compute_critical_path_ms,
+    compute_objective_ms,
+)
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.progress import Progress
 from comfreywind.jobs.task_key import TaskKey
@@ -43,7 +46,7 @@
                 self.open_tasks_by_step[occurrence, number] = step.task_count
         for occurrence, number, _ in self.progress.done:
             self.open_tasks_by_step[occurrence, number] -= 1
-        self.objective_ms = find_objective_ms(self.job)
+        self.objective_ms = compute_objective_ms(self.job)
         self.update_remaining()
 
     @property
@@ -150,7 +153,7 @@
             for number in range(len(self.job.steps))
             if not self.open_tasks_by_step[last, number]
         )
-        self.remaining_ms = find_chain_ms(self.job.steps, done)
+        self.remaining_ms = compute_critical_path_ms(self.job.steps, done)
 
     def _get_checkpoint_key(self, key: TaskKey) -> tuple[int, int, int]:
         number = 0 if self.job.steps[key.step].gang else key.number
--- a/comfreywind/scheduling/upkeep_row.py
+++ b/comfreywind/scheduling/maintenance_row.py
@@ -1,19 +1,19 @@
-"""The row that keeps which VMs of each wave have had their upkeep."""
+"""The row that names the VMs of each wave whose maintenance is done or has begun."""
 
 import msgpack
 
 from comfreywind.jobs.row_format import wrap_row_errors
 
-UPKEEP_KEY = 'upkeep'
+MAINTENANCE_KEY = 'upkeep'
 
 
-def encode_upkeep(done: dict[int, set[str]]) -> bytes:
-    """Return the row."""
+def encode_maintenance(done: dict[int, set[str]]) -> bytes:
+    """Return the row; `done` holds the names of VMs by wave."""
     packed: bytes = msgpack.packb({wave: sorted(names) for wave, names in done.items()})
     return packed
 
 
-def decode_upkeep(payload: bytes | None) -> dict[int, set[str]]:
+def decode_maintenance(payload: bytes | None) -> dict[int, set[str]]:
     """Return the names of the VMs done in each wave; raise RowFormatError for another format."""
     if not payload:
         return {}
--- a/comfreywind/scheduling/planner.py
+++ b/comfreywind/scheduling/planner.py
@@ -4,14 +4,22 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from functools import partial
 
-from comfreywind.decisions.scheduling.placement import TargetRoom, choose_rack, find_request
-from comfreywind.decisions.scheduling.room_index import NO_COUNTS, RoomIndex
-from comfreywind.decisions.scheduling.work_order import FindTurn, JobStanding, find_turn
+from comfreywind.decisions.scheduling.capacity_index import NO_COUNTS, CapacityIndex
+from comfreywind.decisions.scheduling.placement import (
+    TargetCapacity,
+    choose_rack,
+    compute_effective_request,
+)
+from comfreywind.decisions.scheduling.work_order import (
+    JobUrgency,
+    SortKeyFunction,
+    compute_sort_key,
+)
 from comfreywind.jobs.resources import NO_RESOURCES, Resources
 from comfreywind.jobs.step import Step
 from comfreywind.jobs.task_key import TaskKey
 from comfreywind.metrics import Metrics, NoMetrics
-from comfreywind.scheduling.advice import Advice, AdviceQuestion
+from comfreywind.scheduling.advice import Advice, AdviceRequest
 from comfreywind.scheduling.job_record import JobRecord
 from comfreywind.scheduling.orders import Order, StartOrder
 from comfreywind.scheduling.run_record import RunRecord, RunState
@@ -38,7 +46,7 @@
     def __init__(
         self,
         scheduler_state: SchedulerState,
-        sort_key: FindTurn = find_turn,
+        sort_key: SortKeyFunction = compute_sort_key,
         metrics: Metrics | None = None,
     ) -> None:
         """Plan for `scheduler_state`, with the jobs of a pool in the order of `sort_key`."""
@@ -46,9 +54,9 @@
         self._sort_key = sort_key
         self._state = scheduler_state
         self._advice: dict[tuple[str, int, int], Advice] = {}
-        self._open_questions: list[AdviceQuestion] = []
+        self._open_questions: list[AdviceRequest] = []
         self._unplaced_requests: list[Resources] = []
-        self._capacity_index = RoomIndex(())
+        self._capacity_index = CapacityIndex(())
         self._now_s = float('-inf')
 
     def plan(self, now_s: float, now_ms: float) -> list[Order]:
@@ -68,7 +76,7 @@
                 orders.extend(self._plan_pool(ready[pool], records, now_ms))
         return orders
 
-    def select_question(self, now_s: float) -> AdviceQuestion | None:
+    def select_question(self, now_s: float) -> AdviceRequest | None:
         """Return the first question of the last plan that is still unanswered, if there is one."""
         for question in self._open_questions:
             advice = self._advice.get((question.job_id, question.occurrence, question.step))
@@ -77,7 +85,7 @@
         return None
 
     def record_advice(
-        self, question: AdviceQuestion, tickets: dict[str, str], requested_s: float
+        self, question: AdviceRequest, tickets: dict[str, str], requested_s: float
     ) -> None:
         """Record the tickets that answer a question.
 
@@ -105,7 +113,7 @@
     def _plan_pool(
         self, targets: list[TargetRecord], records: list[JobRecord], now_ms: float
     ) -> list[Order]:
-        self._capacity_index = RoomIndex(map(_describe_capacity, targets))
+        self._capacity_index = CapacityIndex(map(_describe_capacity, targets))
         orders: list[Order] = []
         records.sort(key=lambda record: self._sort_key(self._get_urgency(record), now_ms))
         self._unplaced_requests.clear()
@@ -130,9 +138,9 @@
             return False
         return True
 
-    def _get_urgency(self, record: JobRecord) -> JobStanding:
+    def _get_urgency(self, record: JobRecord) -> JobUrgency:
         queue = self._state.rules.queues.get(record.job.queue.name, record.job.queue)
-        return JobStanding(
+        return JobUrgency(
             long_running=record.job.long_running,
             excess=record.excess,
             priority=queue.priority,
@@ -231,14 +239,14 @@
 
     def _is_unplaceable(self, step: Step) -> bool:
         """Return whether this plan found no target for a request that is not larger."""
-        request = find_request(step)
+        request = compute_effective_request(step)
         return any(unplaced.fits(request) for unplaced in self._unplaced_requests)
 
     def _record_unplaced(self, step: Step, queue_is_advised: bool) -> None:
         """Record a request that fits on no target, unless more than capacity limits the step."""
         narrowed = step.required_label or step.target_limit or step.same_rack
         if not narrowed and not queue_is_advised:
-            self._unplaced_requests.append(find_request(step))
+            self._unplaced_requests.append(compute_effective_request(step))
 
     def _update_capacity(self, target_id: str) -> None:
         """Update the index after the free capacity of a target has changed."""
@@ -261,7 +269,7 @@
             run_id,
             target_id,
             record.job.team,
-            find_request(step),
+            compute_effective_request(step),
             step.request,
             RunState.STARTING,
             self._now_s,
@@ -286,7 +294,7 @@
         advice = self._advice.setdefault((job_id, occurrence, number), Advice())
         named = tuple(target.entry.target_id for target in targets)[:MAX_TARGETS_PER_QUESTION]
         if _needs_question(advice, named, self._now_s):
-            self._open_questions.append(AdviceQuestion(job_id, occurrence, number, named))
+            self._open_questions.append(AdviceRequest(job_id, occurrence, number, named))
         return NO_TARGETS if self._now_s >= advice.valid_until_s else advice.tickets.keys()
 
     def _unlock_steps(self, record: JobRecord, now_ms: float) -> None:
@@ -325,13 +333,13 @@
         return counts
 
 
-def _describe_capacity(target: TargetRecord) -> TargetRoom:
-    return TargetRoom(
+def _describe_capacity(target: TargetRecord) -> TargetCapacity:
+    return TargetCapacity(
         target.entry.target_id,
         target.free,
         target.entry.labels,
         serving=any(run.tail_latency_limit_ms for run in target.runs.values()),
-        due=target.due,
+        maintenance_due=target.maintenance_due,
     )
 
 
--- a/comfreywind/scheduling/scheduler_state.py
+++ b/comfreywind/scheduling/scheduler_state.py
@@ -8,9 +8,9 @@
 import logging
 from collections.abc import Iterable
 
+from comfreywind.decisions.scheduling.maintenance import StepHealth
 from comfreywind.decisions.scheduling.pace import choose_pace
-from comfreywind.decisions.scheduling.placement import find_request
-from comfreywind.decisions.scheduling.upkeep import StepHealth
+from comfreywind.decisions.scheduling.placement import compute_effective_request
 from comfreywind.jobs.job import Job
 from comfreywind.jobs.job_rules import JobRules
 from comfreywind.jobs.job_state import JobState
@@ -315,7 +315,7 @@
                 continue
             health = self._get_step_health(*step_key)
             count_on_target = health.at_work_on[target.entry.target_id]
-            if count_on_target > health.limit and health.away < health.limit:
+            if count_on_target > health.limit and health.unavailable < health.limit:
                 evicted.add(step_key)
                 orders.extend(self.stop_run(run, now_s))
         return orders
@@ -373,8 +373,8 @@
         for run in record.runs.values():
             if (run.key.occurrence, run.key.step) == (occurrence, number) and run.at_work:
                 at_work_on[run.target_id] = at_work_on.get(run.target_id, 0) + 1
-        away = step.task_count - sum(at_work_on.values())
-        return StepHealth(step.unavailable_limit, away, at_work_on)
+        unavailable = step.task_count - sum(at_work_on.values())
+        return StepHealth(step.unavailable_limit, unavailable, at_work_on)
 
     def _apply_refusal(self, record: TargetRecord, answer: StartAnswer, now_s: float) -> None:
         if answer is StartAnswer.REPLACED:
@@ -608,7 +608,7 @@
         run_id,
         target.entry.target_id,
         team,
-        find_request(step),
+        compute_effective_request(step),
         step.request,
         RunState.RUNNING,
         now_s,
--- a/comfreywind/scheduling/target_record.py
+++ b/comfreywind/scheduling/target_record.py
@@ -30,7 +30,7 @@
     acknowledged_number: int = 0
     reported: bool = False
     in_registry: bool = False
-    due: bool = False
+    maintenance_due: bool = False
     silent: bool = False
     lease_end_s: float = 0
     cooldown_until_s: float = 0
--- a/comfreywind/scheduling/term_keeper.py
+++ b/comfreywind/scheduling/term_keeper.py
@@ -8,16 +8,16 @@
 
 from comfreywind.clock import Clock
 from comfreywind.decisions.scheduling.term import (
+    DEFAULT_TERM_S,
     POLL_INTERVAL_S,
     RENEW_INTERVAL_S,
     SLOW_STORE_TERM_S,
-    USUAL_TERM_S,
-    LeaseSighting,
-    TermStep,
+    LeaseObservation,
+    TermAction,
     choose_term_s,
-    decide_term_step,
-    find_release_delay_s,
-    find_take_delay_s,
+    decide_term_action,
+    get_release_delay_s,
+    get_take_delay_s,
     is_term_valid,
 )
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
@@ -63,14 +63,14 @@
         self._node = node
         self._clock = clock
         self._random = random.Random(node)
-        self._take_delay_s = find_take_delay_s(cores)
+        self._take_delay_s = get_take_delay_s(cores)
         self._version = VERSION_UNKNOWN
         self._started_s = clock.read_monotonic_s()
         self._version_since_s = self._started_s
-        self._next_term_s = USUAL_TERM_S
+        self._next_term_s = DEFAULT_TERM_S
         self._lease_row = TermRow('', 0)
         self._renewal_sent_s: float | None = None
-        self._held_term_s = USUAL_TERM_S
+        self._held_term_s = DEFAULT_TERM_S
         self._held: HeldTerm | None = None
         self._change = trio.Event()
         self._stopping = False
@@ -150,10 +150,10 @@
     async def _poll_or_renew(self) -> None:
         if self._held is None:
             self._apply_row(await self._rows.read_row(TABLE_TERM, TERM_PARTITION, TERM_KEY))
-        step = decide_term_step(self._make_sighting(), self._held is not None)
-        if step is TermStep.WAIT or self._stopping:
+        step = decide_term_action(self._make_sighting(), self._held is not None)
+        if step is TermAction.WAIT or self._stopping:
             return
-        if step is TermStep.TAKE:
+        if step is TermAction.TAKE:
             await trio.sleep(self._compute_take_delay_s())
         await self._write(step)
 
@@ -162,7 +162,7 @@
         row = self._lease_row
         if row.released and row.started_ms:
             later_s = (self._compute_start_ms() - row.started_ms) / MS_PER_S
-            delay_s += find_release_delay_s(later_s)
+            delay_s += get_release_delay_s(later_s)
         return delay_s
 
     def _compute_start_ms(self) -> float:
@@ -170,14 +170,14 @@
         store_time = self._rows.store_time
         return 0 if store_time is None else store_time.compute_latest_ms(self._started_s)
 
-    def _make_sighting(self) -> LeaseSighting:
+    def _make_sighting(self) -> LeaseObservation:
         now_s = self._clock.read_monotonic_s()
         row = self._lease_row
         store_time = self._rows.store_time
         age_s = None
         if row.renewed_ms and store_time is not None:
             age_s = (store_time.compute_earliest_ms(now_s) - row.renewed_ms) / MS_PER_S
-        return LeaseSighting(
+        return LeaseObservation(
             exists=self._version != 0,
             released=row.released,
             term_s=row.term_s,
@@ -185,12 +185,12 @@
             renewal_age_s=age_s,
         )
 
-    async def _write(self, step: TermStep) -> None:
+    async def _write(self, step: TermAction) -> None:
         sent_s = self._clock.read_monotonic_s()
         store_time = self._rows.store_time
         row = TermRow(
             self._node,
-            self._lease_row.epoch + int(step is TermStep.TAKE),
+            self._lease_row.epoch + int(step is TermAction.TAKE),
             self._lease_row.renewal + 1,
             term_s=self._next_term_s,
             renewed_ms=0 if store_time is None else store_time.compute_latest_ms(sent_s),
@@ -198,7 +198,7 @@
             refused=self.published_refused,
             started_ms=self._compute_start_ms(),
         )
-        if step is TermStep.RENEW:
+        if step is TermAction.RENEW:
             self._limit_held_term(sent_s, row.term_s)
         change = RowChange(TABLE_TERM, TERM_KEY, encode_term(row), self._version)
         try:
@@ -234,12 +234,12 @@
         if seen.holder != self._node or seen.released or seen.epoch != self._held.epoch:
             self._drop_term(f'the row names {seen.holder} in term {seen.epoch}')
 
-    def _apply_commit(self, row: TermRow, version: int, sent_s: float, step: TermStep) -> None:
+    def _apply_commit(self, row: TermRow, version: int, sent_s: float, step: TermAction) -> None:
         now_s = self._clock.read_monotonic_s()
         self._lease_row = row
         self._version = version
         self._version_since_s = now_s
-        if step is TermStep.TAKE and not self._stopping:
+        if step is TermAction.TAKE and not self._stopping:
             self._renewal_sent_s = sent_s
             self._held_term_s = row.term_s
             self._held = HeldTerm(row.epoch, version, now_s)
--- a/comfreywind/settings/node.py
+++ b/comfreywind/settings/node.py
@@ -23,7 +23,7 @@
 
     `lease_limit_s` is the longest lease that a target grants, `stop_grace_s` how long a task may
     take to stop, `status_retention_s` how long the state of an ended job can be queried,
-    `grace_s` how long a node may take to stop after SIGTERM, and `order_turn_s` the minimum time
+    `grace_s` how long a node may take to stop after SIGTERM, and `order_reservation_s` the minimum time
     between two holders' orders for the same VM.
     """
 
@@ -38,7 +38,7 @@
     notice_s: float = 4.5
     maintenance_s: float = 2
     move_s: float = 1.5
-    order_turn_s: float = 3
+    order_reservation_s: float = 3
     remote_factor: float = 2
     ceiling_overrun: float = 0.1
 
--- a/tests/compatibility/test_kept_rows.py
+++ b/tests/compatibility/test_kept_rows.py
@@ -82,7 +82,12 @@
 from comfreywind.report.decision_store import DecisionStore
 from comfreywind.report.result_recorder import ResultRecorder
 from comfreywind.report.summary_store import SummaryStore
-from comfreywind.scheduling.order_turns import decode_ordered_vms, encode_ordered_vms
+from comfreywind.scheduling.maintenance_row import (
+    MAINTENANCE_KEY,
+    decode_maintenance,
+    encode_maintenance,
+)
+from comfreywind.scheduling.order_reservations import decode_ordered_vms, encode_ordered_vms
 from comfreywind.scheduling.term_row import (
     TermRow,
     decode_registry,
@@ -90,7 +95,6 @@
     encode_registry,
     encode_term,
 )
-from comfreywind.scheduling.upkeep_row import UPKEEP_KEY, decode_upkeep, encode_upkeep
 from comfreywind.stand_ins.table_store import RowWrite
 from tests.helpers.manual_clock import ManualClock
 from tests.helpers.memory_tables import MemoryTables
@@ -108,7 +112,7 @@
     'term': (decode_term, encode_term),
     'roster': (decode_registry, encode_registry),
     'orders': (decode_ordered_vms, encode_ordered_vms),
-    'upkeep': (decode_upkeep, encode_upkeep),
+    'upkeep': (decode_maintenance, encode_maintenance),
 }
 DOCUMENTS: dict[str, tuple[Callable[[str, Any], Any], Callable[[Any], Any]]] = {
     'portions': (lambda _, document: decode_portion_row(document), encode_portion_row),
@@ -626,7 +630,7 @@
 def test_tables_and_parts() -> None:
     """Guards against rows that one build writes where another does not look for them."""
     names = [list_constants(module) for module in (job_tables, table_names, wire)]
-    assert [*names, UPKEEP_KEY] == KEPT['names']
+    assert [*names, MAINTENANCE_KEY] == KEPT['names']
     parts = [
         [job_tables.compute_intake_partition(each), job_tables.compute_progress_partition(each)]
         for each in ('0123456789abcdef', 'fedcba9876543210', '000000000000001f')
--- a/tests/scheduling/test_board.py
+++ b/tests/scheduling/test_board.py
@@ -261,11 +261,11 @@
     scheduler_state.apply_vm_order(scheduler_state.targets[first.target_id])
     harness.report(first.target_id, active=((first.key, first.run_id),))
     (health,) = scheduler_state.list_step_health(scheduler_state.targets[second.target_id])
-    assert health.away == 1
+    assert health.unavailable == 1
     scheduler_state.revert_vm_order(scheduler_state.targets[first.target_id])
     harness.report(first.target_id, active=((first.key, first.run_id),))
     (health,) = scheduler_state.list_step_health(scheduler_state.targets[second.target_id])
-    assert health.away == 0
+    assert health.unavailable == 0
 
 
 GANG = Step(3, Resources(1000, 100), gang=True)
--- a/tests/scheduling/test_room_index.py
+++ b/tests/scheduling/test_capacity_index.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from comfreywind.decisions.scheduling import room_index
-from comfreywind.decisions.scheduling.placement import TargetRoom, find_request
-from comfreywind.decisions.scheduling.room_index import RoomIndex
+from comfreywind.decisions.scheduling import capacity_index
+from comfreywind.decisions.scheduling.capacity_index import CapacityIndex
+from comfreywind.decisions.scheduling.placement import TargetCapacity, compute_effective_request
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
 from comfreywind.scheduling.orders import StartOrder
@@ -23,7 +23,7 @@
 
 ROOMS = st.lists(
     st.builds(
-        TargetRoom,
+        TargetCapacity,
         st.sampled_from([f't{number}' for number in range(12)]),
         st.builds(Resources, st.integers(0, 6), st.integers(0, 6), st.integers(0, 1)),
         st.frozensets(st.sampled_from(['r1', 'r2', 'big']), max_size=2),
@@ -49,7 +49,7 @@
 
 def choose_by_scan(
     step: Step,
-    rooms: list[TargetRoom],
+    rooms: list[TargetCapacity],
     avoided: frozenset[str],
     same_step: dict[str, int],
     allowed: frozenset[str] | None,
@@ -62,11 +62,13 @@
             labelled = not step.required_label or step.required_label in room.labels
             below = not step.target_limit or count < step.target_limit
             permitted = allowed is None or room.target_id in allowed
-            if not (find_request(step).fits(room.free) and labelled and below and permitted):
+            if not (
+                compute_effective_request(step).fits(room.free) and labelled and below and permitted
+            ):
                 continue
             yield (
                 room.target_id in avoided,
-                step.long_running and room.due,
+                step.long_running and room.maintenance_due,
                 count if step.unavailable_limit else 0,
                 step.best_effort and room.serving,
                 bool(step.preferred_rack) and step.preferred_rack not in room.labels,
@@ -81,16 +83,16 @@
 @settings(derandomize=True, max_examples=500, deadline=None)
 @given(ROOMS, STEPS, NAMES, COUNTS, st.none() | NAMES)
 def test_same_choice_as_scan(
-    rooms: list[TargetRoom],
+    rooms: list[TargetCapacity],
     step: Step,
     avoided: frozenset[str],
     same_step: dict[str, int],
     allowed: frozenset[str] | None,
 ) -> None:
     """Guards against an index that is fast and places tasks elsewhere than the rule says."""
-    index = RoomIndex([])
+    index = CapacityIndex([])
     for room in rooms:
-        index.replace(TargetRoom(room.target_id, Resources(1, 1), frozenset()))
+        index.replace(TargetCapacity(room.target_id, Resources(1, 1), frozenset()))
     for room in rooms:
         index.replace(room)
     chosen = index.choose(step, avoided, same_step, allowed)
@@ -99,7 +101,7 @@
 
 def test_removed() -> None:
     """Guards against starts on a target that takes none any more."""
-    index = RoomIndex([TargetRoom('t0', Resources(4, 4), frozenset())])
+    index = CapacityIndex([TargetCapacity('t0', Resources(4, 4), frozenset())])
     index.remove('t0')
     index.remove('t0')
     assert index.choose(Step(1, Resources(1, 1))) is None
@@ -108,14 +110,14 @@
 def test_looks_per_start(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a holder that takes longer for each start the larger the fleet is."""
     looks = 0
-    find_rank = room_index._find_rank
+    compute_rank = capacity_index._compute_rank
 
-    def count_look(*arguments: object) -> room_index.Rank:
+    def count_look(*arguments: object) -> capacity_index.Rank:
         nonlocal looks
         looks += 1
-        return find_rank(*arguments)  # type: ignore[arg-type]
+        return compute_rank(*arguments)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(room_index, '_find_rank', count_look)
+    monkeypatch.setattr(capacity_index, '_compute_rank', count_look)
     rig = SchedulerHarness(targets=TARGETS, cpu=32_000)
     for number in range(200):
         steps = (Step(8, Resources(4_500, 100)),)
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -2,68 +2,68 @@
 
 import pytest
 
+from comfreywind.decisions.scheduling.maintenance import (
+    StepHealth,
+    WaveVm,
+    choose_emptying,
+    count_rounds,
+    is_blocked,
+    may_go_down,
+)
 from comfreywind.decisions.scheduling.pace import choose_pace
 from comfreywind.decisions.scheduling.pool_size import (
-    USUAL_POLICY,
+    DEFAULT_POLICY,
     PoolLoad,
     VmMove,
     choose_moves,
 )
 from comfreywind.decisions.scheduling.term import (
+    DEFAULT_TERM_S,
     POLL_INTERVAL_S,
     RESTART_GAP_S,
     TAKEOVER_MARGIN_S,
-    USUAL_TERM_S,
-    LeaseSighting,
-    TermStep,
+    LeaseObservation,
+    TermAction,
     choose_term_s,
-    decide_term_step,
-    find_release_delay_s,
-    find_take_delay_s,
+    decide_term_action,
+    get_release_delay_s,
+    get_take_delay_s,
     is_term_valid,
 )
-from comfreywind.decisions.scheduling.upkeep import (
-    StepHealth,
-    WaveVm,
-    choose_emptying,
-    count_rounds,
-    is_blocked,
-    may_go_down,
-)
 from comfreywind.decisions.scheduling.work_order import (
-    JobStanding,
-    find_chain_ms,
-    find_turn,
+    JobUrgency,
+    compute_critical_path_ms,
+    compute_sort_key,
 )
 from comfreywind.jobs.resources import Resources
 from comfreywind.jobs.step import Step
 
-OVER_S = USUAL_TERM_S + TAKEOVER_MARGIN_S
+OVER_S = DEFAULT_TERM_S + TAKEOVER_MARGIN_S
 
 
 def make_sighting(
     exists: bool = True, released: bool = False, unchanged_s: float = 0, age_s: float | None = None
-) -> LeaseSighting:
+) -> LeaseObservation:
     """Return a sighting of a lease row with a term of the usual length."""
-    return LeaseSighting(exists, released, USUAL_TERM_S, unchanged_s, age_s)
+    return LeaseObservation(exists, released, DEFAULT_TERM_S, unchanged_s, age_s)
 
 
 @pytest.mark.parametrize(
     ('sighting', 'leading', 'step'),
     [
-        (make_sighting(), True, TermStep.RENEW),
-        (make_sighting(exists=False), False, TermStep.TAKE),
-        (make_sighting(released=True), False, TermStep.TAKE),
-        (make_sighting(unchanged_s=OVER_S - 0.1), False, TermStep.WAIT),
-        (make_sighting(unchanged_s=OVER_S), False, TermStep.TAKE),
-        (make_sighting(age_s=OVER_S), False, TermStep.TAKE),
-        (make_sighting(age_s=OVER_S - 0.1), False, TermStep.WAIT),
-        (make_sighting(age_s=-5), False, TermStep.WAIT),
+        (make_sighting(), True, TermAction.RENEW),
+        (make_sighting(exists=False), False, TermAction.TAKE),
+        (make_sighting(released=True), False, TermAction.TAKE),
+        (make_sighting(unchanged_s=OVER_S - 0.1), False, TermAction.WAIT),
+        (make_sighting(unchanged_s=OVER_S), False, TermAction.TAKE),
+        (make_sighting(age_s=OVER_S), False, TermAction.TAKE),
+        (make_sighting(age_s=OVER_S - 0.1), False, TermAction.WAIT),
+        (make_sighting(age_s=-5), False, TermAction.WAIT),
     ],
 )
-def test_term_steps(sighting: LeaseSighting, leading: bool, step: TermStep) -> None:
+def test_term_steps(sighting: LeaseObservation, leading: bool, step: TermAction) -> None:
     """A node takes a term only when it is free, and a free term is always taken."""
-    assert decide_term_step(sighting, leading) is step
+    assert decide_term_action(sighting, leading) is step
 
 
 @pytest.mark.parametrize('took_s', [0, 0.1, 0.3, 1])
@@ -82,10 +82,10 @@
     Seen on dewpa-sched-grown quiet-1, where a node on a small VM was the holder: half of the jobs
     waited 360 ms and one in twenty 9 s.
     """
-    assert find_take_delay_s(cores) == delay_s
+    assert get_take_delay_s(cores) == delay_s
 
 
-def make_urgency(**fields: float) -> JobStanding:
+def make_urgency(**fields: float) -> JobUrgency:
     """Return a job accepted at 0 with an objective of 2 s and 1 s of work left."""
     defaults: dict[str, float] = {
         'lasting': False,
@@ -95,7 +95,7 @@
         'objective_ms': 2000,
         'remaining_ms': 1000,
     }
-    return JobStanding(**{**defaults, **fields})  # type: ignore[arg-type]
+    return JobUrgency(**{**defaults, **fields})  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -111,9 +111,9 @@
     ],
     ids=['lasting', 'share', 'priority', 'due', 'on time', 'soonest late', 'hopeless'],
 )
-def test_order_of_work(first: JobStanding, second: JobStanding, now_ms: float) -> None:
+def test_order_of_work(first: JobUrgency, second: JobUrgency, now_ms: float) -> None:
     """Jobs that can still be on time come before jobs that can't."""
-    assert find_turn(first, now_ms) < find_turn(second, now_ms)
+    assert compute_sort_key(first, now_ms) < compute_sort_key(second, now_ms)
 
 
 def test_chain() -> None:
@@ -124,8 +124,8 @@
         Step(1, request, 400),
         Step(1, request, 500, after=(0, 1)),
     )
-    assert find_chain_ms(steps) == 1500
-    assert find_chain_ms(steps, frozenset((0,))) == 900
+    assert compute_critical_path_ms(steps) == 1500
+    assert compute_critical_path_ms(steps, frozenset((0,))) == 900
 
 
 def make_wave_vm(name: str, **fields: object) -> WaveVm:
@@ -236,7 +236,7 @@
 
     Otherwise each new holder of a rolling restart could be the next node to be stopped.
     """
-    assert (find_release_delay_s(started_later_s) > POLL_INTERVAL_S) is waits
+    assert (get_release_delay_s(started_later_s) > POLL_INTERVAL_S) is waits
 
 
 def make_load(
@@ -260,7 +260,7 @@
         ([make_load('b', 0, 4, 'y z'), make_load('s', 0, 0, standby=True)], []),
         (
             [
-                make_load('b', 0, 4, 'y z', surplus_for_s=USUAL_POLICY.shrink_after_s),
+                make_load('b', 0, 4, 'y z', surplus_for_s=DEFAULT_POLICY.shrink_after_s),
                 make_load('s', 0, 0, standby=True),
             ],
             [VmMove('y', 's'), VmMove('z', 's')],
--- a/tests/scheduling/test_upkeep_rounds.py
+++ b/tests/scheduling/test_maintenance_rounds.py
@@ -21,8 +21,8 @@
 from comfreywind.jobs.vm import Vm
 from comfreywind.platform.stored_row import RowChange
 from comfreywind.platform.vm_client import VmOrderAnswer
+from comfreywind.scheduling.maintenance_keeper import MaintenanceKeeper
 from comfreywind.scheduling.orders import StartOrder
-from comfreywind.scheduling.upkeep_keeper import UpkeepKeeper
 from comfreywind.scheduling.vm_watch import VmWatch
 from tests.helpers.scheduler_harness import POOL, SchedulerHarness, make_job
 from tests.helpers.trio_clock import TrioClock
@@ -105,11 +105,11 @@
         """Tell that each order is announced."""
         return True
 
-    async def announce(self, vms: list[str]) -> bool:
+    async def reserve(self, vms: list[str]) -> bool:
         """Store the VMs."""
         return True
 
-    def is_open(self, vm: str) -> bool:
+    def may_reserve(self, vm: str) -> bool:
         """Tell whether no earlier holder has ordered the VM."""
         return vm not in self.unsure
 
@@ -138,12 +138,12 @@
             await trio.sleep(0.02)
 
 
-def make_keeper(fleet: Any, watch: VmWatch) -> UpkeepKeeper:
+def make_keeper(fleet: Any, watch: VmWatch) -> MaintenanceKeeper:
     """Return the keeper of a holder that takes over now."""
     clock = TrioClock()
     term = cast('Any', SimpleNamespace(epoch=1, taken_s=clock.read_monotonic_s()))
     scheduler_state = fleet.rig.scheduler_state
-    return UpkeepKeeper(
+    return MaintenanceKeeper(
         term,
         'n',
         fleet,
--- a/tests/scheduling/test_order_turns.py
+++ b/tests/scheduling/test_order_reservations.py
@@ -10,7 +10,7 @@
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.store_time import StoreTime
 from comfreywind.platform.stored_row import RowChange, StoredRow
-from comfreywind.scheduling.order_turns import OrderTurns
+from comfreywind.scheduling.order_reservations import OrderReservations
 from comfreywind.scheduling.term_keeper import HeldTerm
 from tests.helpers.manual_clock import ManualClock
 
@@ -67,11 +67,11 @@
         self.row = OneRow(self.clock)
         self._epoch = 0
 
-    async def take_term(self) -> OrderTurns:
+    async def take_term(self) -> OrderReservations:
         """Return the turns of the next holder."""
         self._epoch += 1
         term = HeldTerm(self._epoch, 1, self.clock.read_monotonic_s())
-        turns = OrderTurns(cast('RowsClient', self.row), term, TURN_S, self.clock)
+        turns = OrderReservations(cast('RowsClient', self.row), term, TURN_S, self.clock)
         await turns.load()
         return turns
 
@@ -84,44 +84,44 @@
     """
     rig = Rig()
     first = await rig.take_term()
-    assert first.is_open('a')
-    assert await first.announce(['a'])
+    assert first.may_reserve('a')
+    assert await first.reserve(['a'])
     second = await rig.take_term()
-    assert not second.is_open('a')
-    assert second.is_open('b')
+    assert not second.may_reserve('a')
+    assert second.may_reserve('b')
     rig.clock.advance(TURN_S + ARRIVAL_S + 0.01)
-    assert second.is_open('a')
+    assert second.may_reserve('a')
 
 
 async def test_quick_changes() -> None:
     """Guards against a third holder that orders a VM which the first one has just ordered."""
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
     second = await rig.take_term()
-    assert await second.announce(['b'])
+    assert await second.reserve(['b'])
     third = await rig.take_term()
-    assert not (third.is_open('a') or third.is_open('b'))
+    assert not (third.may_reserve('a') or third.may_reserve('b'))
 
 
 async def test_old_orders() -> None:
     """Guards against a row that names more and more VMs."""
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
     rig.clock.advance(10)
-    assert await first.announce(['b'])
+    assert await first.reserve(['b'])
     second = await rig.take_term()
-    assert second.is_open('a')
-    assert not second.is_open('b')
+    assert second.may_reserve('a')
+    assert not second.may_reserve('b')
 
 
 async def test_repeated_order() -> None:
     """Guards against a write for each repetition of an order."""
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
+    assert await first.reserve(['a'])
     assert rig.row.writes == 1
 
 
@@ -130,9 +130,9 @@
     rig = Rig()
     first = await rig.take_term()
     rig.row.away = True
-    assert not await first.announce(['a'])
+    assert not await first.reserve(['a'])
     rig.row.away = False
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
 
 
 async def test_replaced_holder() -> None:
@@ -140,8 +140,8 @@
     rig = Rig()
     first = await rig.take_term()
     second = await rig.take_term()
-    assert await second.announce(['a'])
-    assert not await first.announce(['b'])
+    assert await second.reserve(['a'])
+    assert not await first.reserve(['b'])
 
 
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x01'])
@@ -151,9 +151,9 @@
     await rig.take_term()
     rig.row.payload = garbage
     second = await rig.take_term()
-    assert not second.is_open('a')
+    assert not second.may_reserve('a')
     rig.clock.advance(TURN_S + ARRIVAL_S + 0.01)
-    assert second.is_open('a')
+    assert second.may_reserve('a')
 
 
 async def test_turn_counts_from_the_order() -> None:
@@ -164,25 +164,25 @@
     """
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
     rig.clock.advance(2.5)
     second = await rig.take_term()
     rig.clock.advance(SEND_S + TURN_S - 2.5)
-    assert not second.is_open('a')
+    assert not second.may_reserve('a')
     rig.clock.advance(ARRIVAL_S + 0.1)
-    assert second.is_open('a')
+    assert second.may_reserve('a')
 
 
 async def test_paused_after_announcement() -> None:
     """Guards against an order sent so late that a successor has ordered the VM before."""
     rig = Rig()
     turns = await rig.take_term()
-    assert await turns.announce(['a'])
+    assert await turns.reserve(['a'])
     assert turns.may_send('a')
     assert not turns.may_send('b')
     rig.clock.advance(SEND_S + 0.1)
     assert not turns.may_send('a')
-    assert await turns.announce(['a'])
+    assert await turns.reserve(['a'])
     assert turns.may_send('a')
     assert rig.row.writes == 2
 
@@ -192,8 +192,8 @@
     rig = Rig()
     rig.row.commit_s = 1.0
     turns = await rig.take_term()
-    await turns.announce(['a'])
-    await turns.announce(['a'])
+    await turns.reserve(['a'])
+    await turns.reserve(['a'])
     assert turns.may_send('a')
 
 
@@ -203,20 +203,20 @@
     rig.row.payload = msgpack.packb(['a'])
     await rig.take_term()
     turns = await rig.take_term()
-    assert not turns.is_open('a')
-    assert turns.is_open('b')
+    assert not turns.may_reserve('a')
+    assert turns.may_reserve('b')
     rig.clock.advance(TURN_S + ARRIVAL_S + 0.01)
-    assert turns.is_open('a')
+    assert turns.may_reserve('a')
 
 
 async def test_order_on_its_way_at_release() -> None:
     """Guards against a VM ordered within the turn of an order that was sent just before a release.
 
-    Found by tests/model/test_order_turns_model.py with seed 785: orders 2.97 s apart.
+    Found by tests/model/test_order_reservations_model.py with seed 785: orders 2.97 s apart.
     """
     rig = Rig()
     first = await rig.take_term()
-    assert await first.announce(['a'])
+    assert await first.reserve(['a'])
     second = await rig.take_term()
     rig.clock.advance(TURN_S + ARRIVAL_S - 0.1)
-    assert not second.is_open('a')
+    assert not second.may_reserve('a')
--- a/tests/scheduling/test_pool_keeper.py
+++ b/tests/scheduling/test_pool_keeper.py
@@ -25,7 +25,7 @@
         self.rules = JobRules(1)
         self.moved: list[str] = []
 
-    def recall(self, *_: Any) -> None:
+    def replay_past_load(self, *_: Any) -> None:
         """Know of no earlier turns."""
 
     def choose(self, *_: Any) -> list[VmMove]:
@@ -36,11 +36,11 @@
         """Tell that no move is under way."""
         return False
 
-    def begin(self, *_: Any) -> bool:
+    def start_move(self, *_: Any) -> bool:
         """Allow each move."""
         return True
 
-    def find_age_s(self, now_s: float) -> float:
+    def get_list_age_s(self, now_s: float) -> float:
         """Tell that the list is fresh."""
         return 0
 
@@ -48,7 +48,7 @@
         """Tell that the term is held."""
         return True
 
-    async def announce(self, vms: list[str]) -> bool:
+    async def reserve(self, vms: list[str]) -> bool:
         """Take the VM from the list."""
         self.vms = {}
         return True
