--- a/comfreywind/decisions/ejection.py
+++ b/comfreywind/decisions/ejection.py
@@ -100,7 +100,7 @@
     return idempotent or now_s >= record.ejected_until_s + BASE_EJECTION_S
 
 
-def find_failure_load(record: TargetRecord, now_s: float) -> int:
+def compute_failure_load(record: TargetRecord, now_s: float) -> int:
     """Return the number of recent failures, which is added to the target's load.
 
     Without it, a target that fails fast would look idle and attract more work.
--- a/comfreywind/entry/target_health.py
+++ b/comfreywind/entry/target_health.py
@@ -8,7 +8,7 @@
     TargetRecord,
     admits_work,
     eject,
-    find_failure_load,
+    compute_failure_load,
     is_outlier,
     may_eject,
     record_failure,
@@ -59,7 +59,7 @@
     def count_failure_load(self, vm: VmEntry) -> int:
         """Return how many outstanding requests the recent failures of the VM count as."""
         record = self._records.get(vm.name)
-        return 0 if record is None else find_failure_load(record, self._clock.read_monotonic_s())
+        return 0 if record is None else compute_failure_load(record, self._clock.read_monotonic_s())
 
     def has_other_target(self, pool: str, excluded: frozenset[str], idempotent: bool) -> bool:
         """Return whether a target of the pool besides the excluded ones may get the request."""
