--- a/tests/scheduling/test_foreign_rows.py
+++ b/tests/scheduling/test_foreign_rows.py
@@ -8,10 +8,10 @@
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
     HOLDER_PARTITION,
-    TARGET_REGISTRY_KEY,
     TABLE_INTAKE,
     TABLE_PROGRESS,
     TABLE_TERM,
+    TARGET_REGISTRY_KEY,
     TERM_KEY,
     TERM_PARTITION,
     compute_intake_partition,
