--- a/comfreywind/intake/__init__.py
+++ b/comfreywind/intake/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface for callers: authentication, and submission, state and cancellation of jobs."""
+"""The HTTP interface through which callers submit, query and cancel jobs."""
--- a/comfreywind/intake/job_app.py
+++ b/comfreywind/intake/job_app.py
@@ -63,7 +63,7 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        """Use the rules, the store of jobs and the keeper of the holder's term, shared by the node."""
+        """Use the rules, the store of jobs and the keeper of the term that the node shares."""
         self._metrics = metrics
         self._rules = rules
         self._store = store
--- a/comfreywind/intake/job_store.py
+++ b/comfreywind/intake/job_store.py
@@ -58,7 +58,7 @@
     def __init__(
         self, rows: RowsClient, row_limit_bytes: int, retention_s: float, clock: Clock
     ) -> None:
-        """Use the client of the table service; the store keeps jobs for `retention_s` after their end.
+        """Use the client of the table service, which keeps jobs for `retention_s` after their end.
 
         Two caches save readings: the owners of jobs that have not ended, and the owners and states
         of ended jobs. Neither changes until the job is removed. The state of a job that has not
@@ -180,7 +180,7 @@
     async def _read_job(
         self, job_id: str, with_accepted: bool
     ) -> tuple[StoredRow, Job | EndedJob | None]:
-        """Return the progress row and, if asked for, the accepted job or its tombstone's content."""
+        """Return the progress row and, if `with_accepted` is set, the job or its tombstone."""
         rows_by_table: dict[str, StoredRow] = {}
 
         async def read(table: str, partition: str) -> None:
@@ -200,7 +200,7 @@
         return rows_by_table[TABLE_PROGRESS], accepted
 
     def _may_be_in_removal(self, accepted: Job | EndedJob | None) -> bool:
-        """Return whether the job is old enough to have ended and be past its retention."""
+        """Return whether the job is so old that it may have ended and its rows be in removal."""
         if not isinstance(accepted, Job):
             return False
         age_s = self._clock.read_utc().timestamp() - accepted.accepted_ms / MS_PER_S
--- a/comfreywind/jobs/job_limits.py
+++ b/comfreywind/jobs/job_limits.py
@@ -15,7 +15,7 @@
 
 
 def describe_exceeded_limit(job: Job) -> str | None:
-    """Return a text that names the field beyond its limit and the limit, or None if all are within."""
+    """Return which field exceeds which limit, or None when all are within their limits."""
     if len(job.steps) > STEP_LIMIT:
         return f'steps: a job has at most {STEP_LIMIT}'
     task_count = sum(step.task_count for step in job.steps)
--- a/comfreywind/jobs/job_owner.py
+++ b/comfreywind/jobs/job_owner.py
@@ -37,7 +37,7 @@
 
 @singledispatch
 def get_owner(accepted: object) -> JobOwner:
-    """Return the owner of an accepted job, or of an ended job of which only the tombstone is left."""
+    """Return the owner of a job or of the ended job in a tombstone."""
     raise TypeError(f'expected a Job or an EndedJob, not {accepted!r}')
 
 
--- a/comfreywind/jobs/job_rules.py
+++ b/comfreywind/jobs/job_rules.py
@@ -11,8 +11,8 @@
 class JobRules:
     """One version of the rules.
 
-    `queues`, `pools` and `teams` map names to definitions, `teams_by_key` maps a caller's API key to
-    the name of its team.
+    `queues`, `pools` and `teams` map names to definitions. `teams_by_key` maps a caller's API key
+    to the name of its team.
     """
 
     version: int
--- a/comfreywind/jobs/row_format.py
+++ b/comfreywind/jobs/row_format.py
@@ -7,12 +7,12 @@
 
 
 class RowFormatError(ValueError):
-    """A row in one of Comfreywind's tables can't be decoded: another program or version wrote it."""
+    """A row of Comfreywind's tables can't be decoded; another program or version wrote it."""
 
 
 @contextlib.contextmanager
 def wrap_row_errors(subject: str) -> Iterator[None]:
-    """Raise RowFormatError, with the subject in its message, for errors of decoding in the block."""
+    """Raise RowFormatError, which names the subject, for decoding errors in the block."""
     try:
         yield
     except (ValueError, TypeError, msgpack.UnpackException) as error:
--- a/comfreywind/node/run.py
+++ b/comfreywind/node/run.py
@@ -77,7 +77,10 @@
             nursery.cancel_scope.cancel()
 
     def is_ready(self) -> bool:
-        """Return whether the node accepts new connections: its rules are current and it isn't stopping."""
+        """Return whether the node is ready for connections.
+
+        It is not while it is stopping or its rules may be out of date.
+        """
         return not self._stopping and self._rules.is_fresh()
 
     async def _serve(self, termination: trio.Event) -> None:
@@ -150,7 +153,8 @@
 async def log_reload_signals() -> None:
     """Log each SIGHUP and do nothing else.
 
-    The settings file is read once at start; rules that change while a node runs come from the store.
+    The settings file is read once at start; rules, which change while a node runs, come from the
+    store.
     """
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
--- a/comfreywind/platform/__init__.py
+++ b/comfreywind/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the platform: clients of its services and of the targets, and codecs of its formats."""
+"""Adapters to the platform: clients of its services and targets, codecs of its formats."""
--- a/comfreywind/platform/resolved_write.py
+++ b/comfreywind/platform/resolved_write.py
@@ -31,7 +31,7 @@
         if row is not None:
             return row
         log.info(
-            'write to row %s/%s: no reply, and the row is unchanged; writing it again',
+            'write to row %s/%s: reply lost and row unchanged, tried again within the limit',
             old.table,
             old.key,
         )
--- a/comfreywind/platform/rows_client.py
+++ b/comfreywind/platform/rows_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's partitioned table service, which stores jobs, rules and registrations."""
+"""Client of the partitioned table service that stores jobs, rules and registrations."""
 
 import base64
 import contextlib
@@ -41,8 +41,8 @@
 class RowsClient:
     """Reads rows and changes, and commits transactions.
 
-    Methods raise StoreUnavailableError without a usable reply, or its subclass StoreRefusedError when
-    the store refused the call and it had no effect.
+    Methods raise StoreUnavailableError without a usable reply, or its subclass StoreRefusedError
+    when the store refused the call and it had no effect.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         return RowPage(tuple(rows), version or 0)
 
     async def read_partitions(self, table: str, partitions: Iterable[str]) -> list[RowPage]:
-        """Return all rows of each partition, in the given order; partitions are read concurrently."""
+        """Return all rows of each partition in the given order, read concurrently."""
         pages: dict[str, RowPage] = {}
 
         async def read(partition: str) -> None:
--- a/comfreywind/platform/target_client.py
+++ b/comfreywind/platform/target_client.py
@@ -69,7 +69,7 @@
         checkpoint: str = '',
         ticket: str = '',
     ) -> StartAnswer:
-        """Order the start of a run; the target refuses it after `expires_ms`.
+        """Order the start of a run under a lease that lasts until `expires_ms` at least.
 
         Returns UNKNOWN without a usable reply; the target may still start the run then.
         """
--- a/comfreywind/platform/vm_client.py
+++ b/comfreywind/platform/vm_client.py
@@ -38,7 +38,7 @@
     """Reads the list of VMs, and orders moves and maintenance with the holder's fence."""
 
     def __init__(self, address: Address, permit: VmPermit) -> None:
-        """Prepare a client; an order is sent only if `permit` returns True for its VM just before."""
+        """Prepare a client; orders are sent only if `permit` returns True for their VM."""
         self._permit = permit
         self._client = HttpClient(address, CALL_TIMEOUT_S, 4)
 
--- a/comfreywind/settings/node.py
+++ b/comfreywind/settings/node.py
@@ -48,8 +48,8 @@
     """Addresses and limits of a node.
 
     `cores` is the processor time of the node in cores of usual speed, `memory_mb` its memory and
-    `vm_orders_per_s` the rate of orders to the VM service. The VM service and the advice
-    service are used, and metrics are served, only if their addresses are set.
+    `vm_orders_per_s` the rate of orders to the VM service. The VM and advice services are
+    used, and metrics are served, only if their addresses are set.
     """
 
     name: str
--- a/tests/field_faults/test_handover.py
+++ b/tests/field_faults/test_handover.py
@@ -52,7 +52,7 @@
         return row
 
     async def commit(self, partition: str, changes: Sequence[RowChange]) -> int:
-        """Write the row if it has the expected version; refuse 10 % of calls, lose 10 % of replies."""
+        """Write the row if its version is expected; refuse some calls and lose some replies."""
         await self._delay_message()
         if self._random.random() < 0.1:
             raise StoreRefusedError('503')
--- a/tests/field_faults/test_lost_answer.py
+++ b/tests/field_faults/test_lost_answer.py
@@ -1,4 +1,4 @@
-"""After a reply was lost, work that had run is run again, or its caller is told that it did not run.
+"""After a lost reply, work that had run is run again or is reported as not run.
 
 A start without a reply counts as a run until its stop is confirmed and a report of the target that
 was requested after the timeout does not show it. A job whose write had no reply is written again on
--- a/tests/field_faults/test_malformed_message.py
+++ b/tests/field_faults/test_malformed_message.py
@@ -107,8 +107,8 @@
 async def test_supervised(autojump_clock: trio.testing.MockClock) -> None:
     """Restarts failed work after a pause and counts the errors.
 
-    Without a restart the work would stay down; without the pause a lasting error would use up the
-    processor.
+    Without a restart the work would stay down; without the pause a persistent error would use
+    up the processor.
     """
     starts_s: list[float] = []
     metrics = CountingMetrics()
@@ -126,9 +126,9 @@
 class TwoRows:
     """A store whose feed returns two changed rows once."""
 
-    async def read_partitions(self, table: str, parts: tuple[str, ...]) -> list[RowPage]:
+    async def read_partitions(self, table: str, partitions: tuple[str, ...]) -> list[RowPage]:
         """Return empty partitions."""
-        return [RowPage((), 1) for _ in parts]
+        return [RowPage((), 1) for _ in partitions]
 
     async def read_changes(self, table: str, after_version: int) -> RowPage:
         """Return both rows to the first call; later calls wait without end."""
--- a/tests/field_faults/test_restart_forgets.py
+++ b/tests/field_faults/test_restart_forgets.py
@@ -1,8 +1,8 @@
 """After the restart of a process, a server that had left, or a withdrawn key, is in use again.
 
-A node keeps no state of its own: it reads all rules and registrations when it starts and serves no
-caller before. The tests restart all nodes at once, also after the store has dropped its history, and
-start a node while the store refuses calls.
+A node keeps no state of its own: it reads all rules and registrations when it starts and serves
+no caller before. The tests restart all nodes at once, also after the store has dropped its history,
+and start a node while the store refuses calls.
 """
 
 import pytest
--- a/tests/helpers/fault_fleet.py
+++ b/tests/helpers/fault_fleet.py
@@ -40,7 +40,10 @@
     def call(
         self, queue: str, method: str = 'GET', query: str = '', entry: int = 0, **headers: str
     ) -> CallerReply:
-        """Send one request to a queue with the team's key; underscores in header names mean hyphens."""
+        """Send one request to a queue with the team's key.
+
+        Underscores in the names of headers are sent as hyphens.
+        """
         names = {name.replace('_', '-'): text for name, text in headers.items()}
         names.setdefault('x-request-id', uuid.uuid4().hex)
         path = f'/queues/{queue}/work?{query}'
@@ -58,7 +61,7 @@
         return sum(self.read_run_log(vm)['running'].get(TEAM, 0) for vm in self.list_vms(pool))
 
     def list_vms(self, pool: str) -> range:
-        """Return the indexes of the pool's VMs, which are also those of their executor processes."""
+        """Return the indexes of the pool's VMs and of their executor processes."""
         return range(FIRST_VM[pool], FIRST_VM[pool] + EXECUTORS[pool])
 
     def set_pool_faults(self, pool: str, **faults: object) -> None:
--- a/tests/test_jobs_whole_path.py
+++ b/tests/test_jobs_whole_path.py
@@ -10,7 +10,7 @@
 
 
 async def test_job_completes() -> None:
-    """Runs each task of a job once and reports the job as complete, though it is submitted twice."""
+    """Runs each task of a job once, though it is submitted twice, and reports its completion."""
     async with run_job_fleet() as fleet:
         assert await fleet.submit(0, JOB, 'work_s=0.2') == 200
         assert await fleet.submit(1, JOB, 'work_s=0.2') == 200
@@ -48,7 +48,7 @@
     ],
 )
 async def test_invalid_jobs(steps: list[object]) -> None:
-    """Refuses jobs that could never be scheduled, such as one with steps that wait for each other."""
+    """Refuses jobs that can never be scheduled, such as one whose steps form a cycle."""
     async with run_job_fleet(node_count=1, target_count=1) as fleet:
         reply = await fleet.call(0, 'POST', JOB, {'spec': '', 'steps': steps})
         assert reply.status == 400
