--- a/comfreywind/decisions/pools/pool_plan.py
+++ b/comfreywind/decisions/pools/pool_plan.py
@@ -76,7 +76,7 @@
         changes=tuple(draft.changes.values()),
         vms=vms,
         wanted=choose_wanted(snapshot, vms, asked),
-        budget=compute_budget(vms, snapshot.find_failing(), snapshot.policy),
+        budget=compute_budget(vms, snapshot.list_failing(), snapshot.policy),
         wave=wave,
     )
 
@@ -87,7 +87,7 @@
 
 def _cancel_drains(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[VmChange]:
     """Return changes that cancel the latest drains while the budget is broken."""
-    margin = compute_budget(vms, snapshot.find_failing(), snapshot.policy).margin
+    margin = compute_budget(vms, snapshot.list_failing(), snapshot.policy).margin
     if snapshot.policy.spare or margin >= 0:
         return []
     draining = sorted(
@@ -108,7 +108,7 @@
 def _begin_stops(
     snapshot: PoolSnapshot, vms: tuple[PoolVm, ...], choose: StopChooser
 ) -> list[VmChange]:
-    budget = compute_budget(vms, snapshot.find_failing(), snapshot.policy)
+    budget = compute_budget(vms, snapshot.list_failing(), snapshot.policy)
     inputs: dict[str, object] = {
         'available': budget.available,
         'required': budget.required,
--- a/comfreywind/decisions/pools/pool_snapshot.py
+++ b/comfreywind/decisions/pools/pool_snapshot.py
@@ -38,7 +38,7 @@
     free_spares: Mapping[str, int] = field(default_factory=dict)
     requests: tuple[SpareRequest, ...] = ()
 
-    def find_failing(self) -> frozenset[str]:
+    def list_failing(self) -> frozenset[str]:
         """Return the names of the VMs that are observed to fail, whatever their rows say."""
         return frozenset(
             vm.name for vm in self.vms if vm.name in self.health and not self.health[vm.name].works
--- a/comfreywind/decisions/pools/spares.py
+++ b/comfreywind/decisions/pools/spares.py
@@ -27,7 +27,7 @@
     While any VM is unavailable, the result is 0, because maintenance waits for its return.
     """
     due = list_due(snapshot, vms)
-    failing = snapshot.find_failing()
+    failing = snapshot.list_failing()
     if not due or failing or any(vm.state != VmState.ACTIVE for vm in vms):
         return 0
     overdue = snapshot.now_s - due[0].last_maintained_s >= snapshot.policy.maintenance_period_s
@@ -47,7 +47,7 @@
         return {}
     borrowed = [vm for vm in vms if vm.borrowed and vm.move_to is None]
     wanted = Counter(vm.home_pool for vm in borrowed)
-    shortage = -compute_budget(vms, snapshot.find_failing(), snapshot.policy).margin
+    shortage = -compute_budget(vms, snapshot.list_failing(), snapshot.policy).margin
     replacements = min(shortage, _count_missing(snapshot, vms) - len(borrowed))
     additional = max(replacements, _count_maintenance_spares(snapshot, vms))
     spare_pool = _choose_spare_pool(snapshot, asked, wanted)
@@ -60,7 +60,7 @@
     """Return the moves of VMs from this spare pool to the pools that requested them."""
     if not snapshot.policy.spare:
         return []
-    failing = snapshot.find_failing()
+    failing = snapshot.list_failing()
     free = [vm for vm in vms if vm.state == VmState.ACTIVE and vm.name not in failing]
     changes = []
     for request in sorted(snapshot.requests, key=attrgetter('given', 'pool')):
@@ -80,7 +80,7 @@
     """
     if list_due(snapshot, vms) and snapshot.policy.maintenance_enabled:
         return []
-    failing = snapshot.find_failing()
+    failing = snapshot.list_failing()
     returning: list[PoolVm] = []
     for vm in vms:
         held_s = snapshot.now_s - vm.pool_since_s
--- a/comfreywind/decisions/pools/wave.py
+++ b/comfreywind/decisions/pools/wave.py
@@ -43,7 +43,7 @@
 
 def list_due(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> list[PoolVm]:
     """Return the active, working VMs that are due, the one maintained longest ago first."""
-    failing = snapshot.find_failing()
+    failing = snapshot.list_failing()
     due = [
         vm
         for vm in vms
@@ -72,7 +72,7 @@
     lowers the number of VMs whose loss must be tolerated.
     """
     domain = find_wave_domain(snapshot, vms)
-    failing = snapshot.find_failing()
+    failing = snapshot.list_failing()
     chosen: list[PoolVm] = []
     for vm in list_due(snapshot, vms):
         if find_domain(vm, snapshot.policy) != domain:
@@ -91,7 +91,7 @@
         return Wave(WaveState.OFF, 'maintenance is disabled in the bundle')
     due_count = len(list_due(snapshot, vms))
     domain = find_wave_domain(snapshot, vms)
-    budget = compute_budget(vms, snapshot.find_failing(), policy)
+    budget = compute_budget(vms, snapshot.list_failing(), policy)
     if budget.margin < 0 and domain is not None:
         return Wave(
             WaveState.PAUSED, 'the pool has less than its budget requires', domain, due_count
