--- a/comfreywind/decisions/pools/budget.py
+++ b/comfreywind/decisions/pools/budget.py
@@ -42,7 +42,7 @@
     return min(required, max(0, size - 1)) if policy.spare else required
 
 
-def find_domain(vm: PoolVm, policy: PoolPolicy) -> str:
+def get_failure_domain(vm: PoolVm, policy: PoolPolicy) -> str:
     """Return the failure domain of the VM; a wave stops VMs of one failure domain together.
 
     This is the data centre if the pool tolerates the loss of one, otherwise the rack.
@@ -72,5 +72,5 @@
 def _count_tolerated(available: Iterable[PoolVm], policy: PoolPolicy) -> int:
     if policy.tolerate == 'none':
         return 0
-    domains = Counter(find_domain(vm, policy) for vm in available)
+    domains = Counter(get_failure_domain(vm, policy) for vm in available)
     return max(domains.values(), default=0)
--- a/comfreywind/decisions/pools/wave.py
+++ b/comfreywind/decisions/pools/wave.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
-from comfreywind.decisions.pools.budget import compute_budget, find_domain
+from comfreywind.decisions.pools.budget import compute_budget, get_failure_domain
 from comfreywind.decisions.pools.pool_policy import PoolPolicy
 from comfreywind.decisions.pools.pool_snapshot import PoolSnapshot
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
@@ -58,11 +58,11 @@
 def find_wave_domain(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> str | None:
     """Return the failure domain of the stops under way, otherwise that of the first VM due."""
     policy = snapshot.policy
-    stopping = sorted(find_domain(vm, policy) for vm in vms if vm.stopping)
+    stopping = sorted(get_failure_domain(vm, policy) for vm in vms if vm.stopping)
     if stopping:
         return stopping[0]
     due = list_due(snapshot, vms)
-    return find_domain(due[0], policy) if due else None
+    return get_failure_domain(due[0], policy) if due else None
 
 
 def choose_stops(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[PoolVm]:
@@ -75,7 +75,7 @@
     failing = snapshot.list_failing()
     chosen: list[PoolVm] = []
     for vm in list_due(snapshot, vms):
-        if find_domain(vm, snapshot.policy) != domain:
+        if get_failure_domain(vm, snapshot.policy) != domain:
             continue
         unavailable = failing | {other.name for other in chosen} | {vm.name}
         if compute_budget(vms, unavailable, snapshot.policy).margin < 0:
