--- a/comfreywind/decisions/pools/wave.py
+++ b/comfreywind/decisions/pools/wave.py
@@ -55,7 +55,7 @@
     return sorted(due, key=lambda vm: (vm.last_maintained_s, vm.name))
 
 
-def find_wave_domain(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> str | None:
+def choose_wave_domain(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> str | None:
     """Return the failure domain of the stops under way, otherwise that of the first VM due."""
     policy = snapshot.policy
     stopping = sorted(get_failure_domain(vm, policy) for vm in vms if vm.stopping)
@@ -71,7 +71,7 @@
     The budget is computed anew for each stop, because a stop in the largest failure domain also
     lowers the number of VMs whose loss must be tolerated.
     """
-    domain = find_wave_domain(snapshot, vms)
+    domain = choose_wave_domain(snapshot, vms)
     failing = snapshot.list_failing()
     chosen: list[PoolVm] = []
     for vm in list_due(snapshot, vms):
@@ -90,7 +90,7 @@
     if not policy.maintenance_enabled:
         return Wave(WaveState.OFF, 'maintenance is disabled in the bundle')
     due_count = len(list_due(snapshot, vms))
-    domain = find_wave_domain(snapshot, vms)
+    domain = choose_wave_domain(snapshot, vms)
     budget = compute_budget(vms, snapshot.list_failing(), policy)
     if budget.margin < 0 and domain is not None:
         return Wave(
