--- a/comfreywind/decisions/freshness.py
+++ b/comfreywind/decisions/freshness.py
@@ -23,7 +23,7 @@
     return max(2, members_count // 2 + 1)
 
 
-def find_confirmed_s(
+def compute_confirmed_s(
     own: OwnView, reports: Iterable[PeerReport], needed_count: int, oldest_s: float
 ) -> float | None:
     """Return the time up to which enough reports confirm that the own view is complete, or None.
--- a/comfreywind/entry/propagation.py
+++ b/comfreywind/entry/propagation.py
@@ -6,7 +6,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.freshness import (
     count_needed_reports,
-    find_confirmed_s,
+    compute_confirmed_s,
     list_view_sources,
 )
 from comfreywind.decisions.keys import TeamKey
@@ -139,7 +139,7 @@
         self._request_vm_list(sender, heartbeat)
         if own.covers(_make_mark(heartbeat)):
             self._raise_view_sequence(heartbeat)
-        confirmed_s = find_confirmed_s(
+        confirmed_s = compute_confirmed_s(
             own,
             reports,
             count_needed_reports(len(members) + 1, self._rules_view.is_cold()),
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -4,7 +4,7 @@
 
 from comfreywind.decisions.freshness import (
     count_needed_reports,
-    find_confirmed_s,
+    compute_confirmed_s,
     list_view_sources,
 )
 from comfreywind.decisions.own_view import OwnView
@@ -57,13 +57,13 @@
 def test_confirmed(case: str, reports: list[tuple[float, ViewSummary]], confirmed_s: float) -> None:
     """A view must not be confirmed by too few or too old reports, or while a newer one exists."""
     peer_reports = [PeerReport('peer', as_of_s, mark) for as_of_s, mark in reports]
-    assert find_confirmed_s(OWN, peer_reports, 2, oldest_s=5) == confirmed_s, case
+    assert compute_confirmed_s(OWN, peer_reports, 2, oldest_s=5) == confirmed_s, case
 
 
 def test_content_of_accepted_version_missing() -> None:
     """The old version must not be served while a newer one is accepted but could not be read."""
     own = OwnView(SAME, 3, frozenset(), frozenset())
-    assert find_confirmed_s(own, [PeerReport('a', 9, SAME)] * 3, 2, oldest_s=5) is None
+    assert compute_confirmed_s(own, [PeerReport('a', 9, SAME)] * 3, 2, oldest_s=5) is None
 
 
 def test_sources() -> None:
--- a/tests/model/view_model.py
+++ b/tests/model/view_model.py
@@ -14,7 +14,7 @@
 
 from minicheck import Protocol
 
-from comfreywind.decisions.freshness import count_needed_reports, find_confirmed_s, is_fresh
+from comfreywind.decisions.freshness import count_needed_reports, compute_confirmed_s, is_fresh
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
 from comfreywind.decisions.versions import is_newer_version
@@ -182,7 +182,7 @@
         PeerReport(str(index), -age, ViewSummary(report_version, 0, 0))
         for index, (age, report_version) in enumerate(reports)
     ]
-    return find_confirmed_s(own, peer_reports, needed_count, -FRESH_TICKS)
+    return compute_confirmed_s(own, peer_reports, needed_count, -FRESH_TICKS)
 
 
 class AttemptBlindViewModel(ViewModel):
