--- a/comfreywind/entry/fleet_view.py
+++ b/comfreywind/entry/fleet_view.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from comfreywind.decisions.set_digest import exchange_row
+from comfreywind.decisions.row_digest import exchange_row
 from comfreywind.platform.row import Row
 from comfreywind.platform.vm_entry import VmEntry
 
--- a/comfreywind/entry/rules_view.py
+++ b/comfreywind/entry/rules_view.py
@@ -6,7 +6,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.freshness import is_fresh
 from comfreywind.decisions.keys import TeamKey
-from comfreywind.decisions.set_digest import exchange_row
+from comfreywind.decisions.row_digest import exchange_row
 from comfreywind.decisions.versions import is_newer_key, is_newer_version
 from comfreywind.peers.messages.bundle_offer import BundleOffer
 
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -9,7 +9,7 @@
 )
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
-from comfreywind.decisions.set_digest import exchange_row
+from comfreywind.decisions.row_digest import exchange_row
 from comfreywind.decisions.resolve_write import WriteOutcome, resolve_write
 from comfreywind.decisions.view_summary import ViewSummary
 
