--- a/comfreywind/decisions/row_digest.py
+++ b/comfreywind/decisions/row_digest.py
@@ -5,7 +5,7 @@
 DIGEST_BYTES = 8
 
 
-def exchange_row(digest: int, key: str, old_version: int, new_version: int) -> int:
+def update_digest(digest: int, key: str, old_version: int, new_version: int) -> int:
     """Return the digest after the version of a row has changed; version 0 means that it is missing.
 
     The digest is the exclusive or of the 64-bit hashes of all rows (key and version), so it does
--- a/comfreywind/entry/fleet_view.py
+++ b/comfreywind/entry/fleet_view.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from comfreywind.decisions.row_digest import exchange_row
+from comfreywind.decisions.row_digest import update_digest
 from comfreywind.platform.row import Row
 from comfreywind.platform.vm_entry import VmEntry
 
@@ -92,7 +92,7 @@
         if row.version <= known_version:
             return False
         self._rows[row.key] = row
-        self.rows_digest = exchange_row(self.rows_digest, row.key, known_version, row.version)
+        self.rows_digest = update_digest(self.rows_digest, row.key, known_version, row.version)
         return True
 
     def _tell_listeners(self) -> None:
--- a/comfreywind/entry/rules_view.py
+++ b/comfreywind/entry/rules_view.py
@@ -6,7 +6,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.freshness import is_fresh
 from comfreywind.decisions.keys import TeamKey
-from comfreywind.decisions.row_digest import exchange_row
+from comfreywind.decisions.row_digest import update_digest
 from comfreywind.decisions.versions import is_newer_key, is_newer_version
 from comfreywind.peers.messages.bundle_offer import BundleOffer
 
@@ -69,7 +69,7 @@
         if not is_newer_key(known_key, key):
             return False
         known_version = known_key.row_version if known_key else 0
-        self.keys_digest = exchange_row(
+        self.keys_digest = update_digest(
             self.keys_digest, key.key_id, known_version, key.row_version
         )
         self.keys[key.key_id] = key
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -9,7 +9,7 @@
 )
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
-from comfreywind.decisions.row_digest import exchange_row
+from comfreywind.decisions.row_digest import update_digest
 from comfreywind.decisions.resolve_write import WriteOutcome, resolve_write
 from comfreywind.decisions.view_summary import ViewSummary
 
@@ -80,10 +80,10 @@
 
 def test_digest_ignores_order() -> None:
     """Digests must be equal for equal rows in any order, and differ for different rows."""
-    first = exchange_row(exchange_row(0, 'a', 0, 1), 'b', 0, 7)
-    second = exchange_row(exchange_row(exchange_row(0, 'b', 0, 6), 'a', 0, 1), 'b', 6, 7)
+    first = update_digest(update_digest(0, 'a', 0, 1), 'b', 0, 7)
+    second = update_digest(update_digest(update_digest(0, 'b', 0, 6), 'a', 0, 1), 'b', 6, 7)
     assert first == second
-    assert first not in {exchange_row(exchange_row(0, 'a', 0, 7), 'b', 0, 1), 0}
+    assert first not in {update_digest(update_digest(0, 'a', 0, 7), 'b', 0, 1), 0}
 
 
 @pytest.mark.parametrize(('expected', 'found', 'write_id', 'outcome'), WRITE_CASES)
