--- a/comfreywind/decisions/slot_rounding.py
+++ b/comfreywind/decisions/slot_rounding.py
@@ -25,7 +25,7 @@
     return slots
 
 
-def make_offset(utc_s: float) -> float:
+def compute_rounding_offset(utc_s: float) -> float:
     """Return the rounding offset of this second, which is the same at every entry.
 
     It changes every ROTATION_STEP_S, so that the entries take turns to be rounded up. If the clocks
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -6,7 +6,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.slot_allocation import LoadsByTeam, SlotAllocation, allocate_slots
 from comfreywind.decisions.capacity_rule import PoolCapacity
-from comfreywind.decisions.slot_rounding import make_offset
+from comfreywind.decisions.slot_rounding import compute_rounding_offset
 from comfreywind.decisions.urgent_reserve import count_reserved_slots
 from comfreywind.entry.placement import Placement
 from comfreywind.entry.target_pool import TargetPool
@@ -134,7 +134,7 @@
                 self.targets.capacity, self._read_mean_run_s(now_s)
             )
         capacity = self.targets.capacity - self._reserved_slots
-        offset = make_offset(clock.read_utc().timestamp())
+        offset = compute_rounding_offset(clock.read_utc().timestamp())
         self.plan = allocate_slots(own_name, loads, team_rules, capacity, offset)
         for team in self._active.values():
             self._apply_plan(team)
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -18,7 +18,7 @@
     estimate_wait_s,
     may_meet_deadline,
 )
-from comfreywind.decisions.slot_rounding import make_offset, round_to_slots
+from comfreywind.decisions.slot_rounding import compute_rounding_offset, round_to_slots
 from comfreywind.decisions.start_order import advance_virtual_time, choose_team
 from comfreywind.decisions.target_choice import choose_target
 from comfreywind.decisions.team_load import TeamLoad
@@ -82,7 +82,7 @@
     second: int,
 ) -> None:
     """The entries together must not plan more than the pool or a ceiling, nor leave slots idle."""
-    offset = make_offset(second)
+    offset = compute_rounding_offset(second)
     plans = {
         entry: allocate_slots(entry, all_loads, team_rules, capacity, offset) for entry in all_loads
     }
@@ -104,7 +104,7 @@
 def test_rounding_is_fair_over_time(quotas: dict[str, float]) -> None:
     """An entry's fraction of a slot must not always be rounded down."""
     steps = 500
-    rounded = [round_to_slots(quotas, make_offset(second)) for second in range(steps)]
+    rounded = [round_to_slots(quotas, compute_rounding_offset(second)) for second in range(steps)]
     for name, quota in quotas.items():
         mean = sum(slots[name] for slots in rounded) / steps
         assert abs(mean - quota) < 0.03
