--- a/comfreywind/decisions/pools/pool_plan.py
+++ b/comfreywind/decisions/pools/pool_plan.py
@@ -8,7 +8,12 @@
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
 from comfreywind.decisions.pools.spares import choose_wanted, give_spares, return_spares
 from comfreywind.decisions.pools.vm_change import VmChange
-from comfreywind.decisions.pools.vm_steps import begin_stop, cancel_drain, finish_drain, observe_vm
+from comfreywind.decisions.pools.vm_steps import (
+    begin_stop,
+    cancel_drain,
+    finish_drain,
+    decide_health_change,
+)
 from comfreywind.decisions.pools.wave import (
     StopChooser,
     Wave,
@@ -61,7 +66,7 @@
     that are still draining are cancelled), and only then reboots, new stops and moves.
     """
     draft = _Draft(snapshot.vms)
-    steps = [observe_vm(vm, snapshot) for vm in snapshot.vms]
+    steps = [decide_health_change(vm, snapshot) for vm in snapshot.vms]
     draft.apply(step for step in steps if step is not None)
     draft.apply(_cancel_drains(snapshot, draft.vms))
     draft.apply(_finish_drains(snapshot, draft.vms))
--- a/comfreywind/decisions/pools/vm_steps.py
+++ b/comfreywind/decisions/pools/vm_steps.py
@@ -26,7 +26,7 @@
     return VmChange('stop' if vm.move_to is None else 'move', vm, after, cause, inputs)
 
 
-def observe_vm(vm: PoolVm, snapshot: PoolSnapshot) -> VmChange | None:
+def decide_health_change(vm: PoolVm, snapshot: PoolSnapshot) -> VmChange | None:
     """Return the change that the observed health of the VM requires, or None."""
     health = snapshot.health.get(vm.name)
     if health is None:
