--- a/comfreywind/control/drain_watch.py
+++ b/comfreywind/control/drain_watch.py
@@ -20,12 +20,12 @@
         self._clock = clock
         self._confirmed_s: dict[tuple[str, int], float] = {}
 
-    def find_drained(self, vms: Collection[PoolVm], graceful_s: float) -> frozenset[str]:
+    def find_drained(self, vms: Collection[PoolVm], run_limit_s: float) -> frozenset[str]:
         """Return the draining VMs that can be stopped or moved now."""
         draining = [vm.name for vm in vms if vm.state == VmState.DRAINING]
-        return frozenset(name for name in draining if self._is_drained(name, graceful_s))
+        return frozenset(name for name in draining if self._is_drained(name, run_limit_s))
 
-    def _is_drained(self, name: str, graceful_s: float) -> bool:
+    def _is_drained(self, name: str, run_limit_s: float) -> bool:
         seen = self._view.find(TABLE_VMS, name)
         if seen is None:
             return False
@@ -40,7 +40,7 @@
         drain = Drain(
             row_sequence=seen.sequence,
             confirmed_s=self._confirmed_s.get(drain_key),
-            unreported_until_s=self._members.unreported_since_s + graceful_s,
-            graceful_s=graceful_s,
+            unreported_until_s=self._members.unreported_since_s + run_limit_s,
+            run_limit_s=run_limit_s,
         )
         return is_drained(drain, reports, now_s)
--- a/comfreywind/control/pool_controller.py
+++ b/comfreywind/control/pool_controller.py
@@ -113,14 +113,14 @@
         pool = find_pool_rules(rules, self._pool)
         now_s = parts.read_wall_s()
         vms = parts.view.list_pool(self._pool)
-        graceful_s = max(other.max_run_s for other in rules.pools.values())
-        graceful_s += parts.timings.run_margin_s
+        run_limit_s = max(other.max_run_s for other in rules.pools.values())
+        run_limit_s += parts.timings.run_margin_s
         return make_snapshot(
             pool,
             rules,
             parts.view,
             parts.health.read([vm.name for vm in vms]),
-            parts.drains.find_drained(vms, graceful_s),
+            parts.drains.find_drained(vms, run_limit_s),
             now_s,
             parts.timings,
         )
--- a/comfreywind/decisions/pools/drain.py
+++ b/comfreywind/decisions/pools/drain.py
@@ -26,13 +26,13 @@
     `row_sequence` is a sequence in the change feed that includes the draining row. `confirmed_s` is
     when all members had applied it, None before. `unreported_until_s` is the time at which the work
     of members that sent no report has certainly ended: of those that left or were fenced, and of
-    those that were there before this entry started. `graceful_s` is how long a run may take.
+    those that were there before this entry started. `run_limit_s` is how long a run may take.
     """
 
     row_sequence: int
     confirmed_s: float | None
     unreported_until_s: float
-    graceful_s: float
+    run_limit_s: float
 
 
 def is_confirmed(row_sequence: int, members: Collection[MemberReport]) -> bool:
@@ -46,14 +46,14 @@
     """Return whether the VM can be stopped or moved without interrupting a request.
 
     All members must have applied the draining row and report that they run nothing on the VM. For a
-    member that reports no number, `graceful_s` must have passed since the confirmation: the header
+    member that reports no number, `run_limit_s` must have passed since the confirmation: the header
     `Comfreywind-Run-Until` ends earlier work at the worker by then.
     """
     if drain.confirmed_s is None or not is_confirmed(drain.row_sequence, members):
         return False
     if now_s < drain.unreported_until_s:
         return False
-    limit_passed = now_s - drain.confirmed_s >= drain.graceful_s
+    limit_passed = now_s - drain.confirmed_s >= drain.run_limit_s
     return all(
         limit_passed if member.running is None else member.running == 0 for member in members
     )
--- a/tests/decisions/test_drain.py
+++ b/tests/decisions/test_drain.py
@@ -44,7 +44,7 @@
     expected: bool,
 ) -> None:
     """A VM is stopped too early if a member may still send work there or still runs some."""
-    drain = Drain(7, confirmed_s, unreported_until_s, graceful_s=30)
+    drain = Drain(7, confirmed_s, unreported_until_s, run_limit_s=30)
     assert is_drained(drain, (DONE_REPORT, *others), 100) == expected
 
 
--- a/tests/model/move_model.py
+++ b/tests/model/move_model.py
@@ -169,7 +169,7 @@
         row_sequence=len(state.rows),
         confirmed_s=0 if state.confirmed == len(state.rows) else None,
         unreported_until_s=GRACEFUL_S if waits else 0,
-        graceful_s=GRACEFUL_S,
+        run_limit_s=GRACEFUL_S,
     )
     return is_drained(drain, reports, now_s=1)
 
