--- a/comfreywind/decisions/pools/pool_plan.py
+++ b/comfreywind/decisions/pools/pool_plan.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.pools.budget import Budget, compute_budget
 from comfreywind.decisions.pools.pool_snapshot import PoolSnapshot
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
-from comfreywind.decisions.pools.spares import choose_wanted, give_spares, return_spares
+from comfreywind.decisions.pools.spares import choose_wanted, lend_spares, return_spares
 from comfreywind.decisions.pools.vm_change import VmChange
 from comfreywind.decisions.pools.vm_steps import (
     begin_stop,
@@ -72,7 +72,7 @@
     draft.apply(_finish_drains(snapshot, draft.vms))
     own = _list_own(snapshot, draft)
     draft.apply(return_spares(snapshot, own))
-    draft.apply(give_spares(snapshot, own))
+    draft.apply(lend_spares(snapshot, own))
     wave = describe_wave(snapshot, _list_own(snapshot, draft))
     if wave.state == WaveState.RUNNING:
         draft.apply(_begin_stops(snapshot, _list_own(snapshot, draft), choose))
--- a/comfreywind/decisions/pools/spares.py
+++ b/comfreywind/decisions/pools/spares.py
@@ -56,7 +56,7 @@
     return dict(sorted(wanted.items()))
 
 
-def give_spares(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[VmChange]:
+def lend_spares(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[VmChange]:
     """Return the moves of VMs from this spare pool to the pools that requested them."""
     if not snapshot.policy.spare:
         return []
