--- a/bench/experiments/maintenance.py
+++ b/bench/experiments/maintenance.py
@@ -19,7 +19,7 @@
 from comfreywind.decisions.pools.pool_policy import PoolPolicy
 from comfreywind.decisions.pools.pool_snapshot import PoolSnapshot, SpareRequest
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
-from comfreywind.decisions.pools.spares import choose_wanted
+from comfreywind.decisions.pools.spares import compute_wanted_spares
 from comfreywind.decisions.pools.vm_health import VmHealth
 from comfreywind.decisions.pools.wave import StopChooser, choose_stops, list_due
 
@@ -240,7 +240,7 @@
     plan = plan_pool(snapshot, world.wanted, policy.choose)
     checked = replace(snapshot, policy=POLICY)
     _apply(world, plan.changes, result)
-    world.wanted = choose_wanted(checked, plan.vms, world.wanted)
+    world.wanted = compute_wanted_spares(checked, plan.vms, world.wanted)
 
 
 def _step_reserve(world: World, health: dict[str, VmHealth], result: Result) -> None:
--- a/comfreywind/decisions/pools/pool_plan.py
+++ b/comfreywind/decisions/pools/pool_plan.py
@@ -6,7 +6,7 @@
 from comfreywind.decisions.pools.budget import Budget, compute_budget
 from comfreywind.decisions.pools.pool_snapshot import PoolSnapshot
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
-from comfreywind.decisions.pools.spares import choose_wanted, lend_spares, return_spares
+from comfreywind.decisions.pools.spares import compute_wanted_spares, lend_spares, return_spares
 from comfreywind.decisions.pools.vm_change import VmChange
 from comfreywind.decisions.pools.vm_steps import (
     begin_stop,
@@ -80,7 +80,7 @@
     return PoolPlan(
         changes=tuple(draft.changes.values()),
         vms=vms,
-        wanted=choose_wanted(snapshot, vms, asked),
+        wanted=compute_wanted_spares(snapshot, vms, asked),
         budget=compute_budget(vms, snapshot.list_failing(), snapshot.policy),
         wave=wave,
     )
--- a/comfreywind/decisions/pools/spares.py
+++ b/comfreywind/decisions/pools/spares.py
@@ -35,7 +35,7 @@
     return int(overdue and margin == -1 and snapshot.policy.maintenance_enabled)
 
 
-def choose_wanted(
+def compute_wanted_spares(
     snapshot: PoolSnapshot, vms: tuple[PoolVm, ...], asked: dict[str, int]
 ) -> dict[str, int]:
     """Return how many VMs this pool wants from each spare pool, including those borrowed already.
