--- a/bench/experiments/maintenance.py
+++ b/bench/experiments/maintenance.py
@@ -21,7 +21,7 @@
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
 from comfreywind.decisions.pools.spares import compute_wanted_spares
 from comfreywind.decisions.pools.vm_health import VmHealth
-from comfreywind.decisions.pools.wave import StopChooser, choose_stops, list_due
+from comfreywind.decisions.pools.wave import StopChooser, choose_stops, list_due_vms
 
 VMS_COUNT = 64
 SPARES_COUNT = 4
@@ -113,13 +113,13 @@
 
 def choose_one(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[PoolVm]:
     """Stop one VM at a time."""
-    return [] if any(vm.stopping for vm in vms) else list_due(snapshot, vms)[:1]
+    return [] if any(vm.stopping for vm in vms) else list_due_vms(snapshot, vms)[:1]
 
 
 def choose_percentage(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[PoolVm]:
     """Keep a quarter of the pool stopped, which is what the ratio leaves without failures."""
     stopping = sum(vm.stopping for vm in vms)
-    return list_due(snapshot, vms)[: max(0, VMS_COUNT // 4 - stopping)]
+    return list_due_vms(snapshot, vms)[: max(0, VMS_COUNT // 4 - stopping)]
 
 
 POLICIES = (
--- a/comfreywind/decisions/pools/spares.py
+++ b/comfreywind/decisions/pools/spares.py
@@ -9,7 +9,7 @@
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
 from comfreywind.decisions.pools.vm_change import VmChange
 from comfreywind.decisions.pools.vm_steps import begin_move
-from comfreywind.decisions.pools.wave import list_due
+from comfreywind.decisions.pools.wave import list_due_vms
 
 
 def _count_missing(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> int:
@@ -26,7 +26,7 @@
 
     While any VM is unavailable, the result is 0, because maintenance waits for its return.
     """
-    due = list_due(snapshot, vms)
+    due = list_due_vms(snapshot, vms)
     failing = snapshot.list_failing()
     if not due or failing or any(vm.state != VmState.ACTIVE for vm in vms):
         return 0
@@ -78,7 +78,7 @@
     No VM is returned while VMs are due for maintenance, because a blocked wave would request it
     again. A borrowed VM stays for at least `spare_hold_s`, so that it does not move back and forth.
     """
-    if list_due(snapshot, vms) and snapshot.policy.maintenance_enabled:
+    if list_due_vms(snapshot, vms) and snapshot.policy.maintenance_enabled:
         return []
     failing = snapshot.list_failing()
     returning: list[PoolVm] = []
--- a/comfreywind/decisions/pools/wave.py
+++ b/comfreywind/decisions/pools/wave.py
@@ -41,7 +41,7 @@
     return now_s - vm.last_maintained_s >= start_after_s
 
 
-def list_due(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> list[PoolVm]:
+def list_due_vms(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> list[PoolVm]:
     """Return the active, working VMs that are due, the one maintained longest ago first."""
     failing = snapshot.list_failing()
     due = [
@@ -61,7 +61,7 @@
     stopping = sorted(get_failure_domain(vm, policy) for vm in vms if vm.stopping)
     if stopping:
         return stopping[0]
-    due = list_due(snapshot, vms)
+    due = list_due_vms(snapshot, vms)
     return get_failure_domain(due[0], policy) if due else None
 
 
@@ -74,7 +74,7 @@
     domain = choose_wave_domain(snapshot, vms)
     failing = snapshot.list_failing()
     chosen: list[PoolVm] = []
-    for vm in list_due(snapshot, vms):
+    for vm in list_due_vms(snapshot, vms):
         if get_failure_domain(vm, snapshot.policy) != domain:
             continue
         unavailable = failing | {other.name for other in chosen} | {vm.name}
@@ -89,7 +89,7 @@
     policy = snapshot.policy
     if not policy.maintenance_enabled:
         return Wave(WaveState.OFF, 'maintenance is disabled in the bundle')
-    due_count = len(list_due(snapshot, vms))
+    due_count = len(list_due_vms(snapshot, vms))
     domain = choose_wave_domain(snapshot, vms)
     budget = compute_budget(vms, snapshot.list_failing(), policy)
     if budget.margin < 0 and domain is not None:
