--- a/comfreywind/decisions/service_time.py
+++ b/comfreywind/decisions/service_time.py
@@ -46,7 +46,7 @@
     return service.mean_s * waiting_ahead / slots if slots > 0 else math.inf
 
 
-def can_meet_deadline(service: ServiceTime, wait_s: float, left_s: float) -> bool:
+def is_expected_to_meet_deadline(service: ServiceTime, wait_s: float, left_s: float) -> bool:
     """Return whether a request that starts after `wait_s` is expected to end within `left_s`."""
     if not service.trusted:
         return wait_s <= left_s
--- a/comfreywind/entry/dispatcher.py
+++ b/comfreywind/entry/dispatcher.py
@@ -12,7 +12,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.refusal import Refusal, RefusalReason
 from comfreywind.decisions.service_time import (
-    can_meet_deadline,
+    is_expected_to_meet_deadline,
     estimate_wait_s,
     may_meet_deadline,
 )
@@ -225,7 +225,7 @@
         ahead = len(team.urgent) if ticket.queue.urgent else team.waiting
         wait_s = estimate_wait_s(service, ahead, max(team.quota, team.running))
         left_s = ticket.deadline_s - now_s
-        if can_meet_deadline(service, wait_s, left_s):
+        if is_expected_to_meet_deadline(service, wait_s, left_s):
             return None
         if not ahead and may_meet_deadline(service, left_s):
             return None
@@ -280,7 +280,7 @@
             return left_s <= 0
         service = team.read_service(now_s)
         if team.waiting > 1:
-            return not can_meet_deadline(service, 0, left_s)
+            return not is_expected_to_meet_deadline(service, 0, left_s)
         return not may_meet_deadline(service, left_s)
 
     def _refuse_late(self, pool: PoolQueue, waiter: Waiter) -> StartResult:
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -14,7 +14,7 @@
     WAIT_MARGIN,
     ServiceTime,
     add_sample,
-    can_meet_deadline,
+    is_expected_to_meet_deadline,
     estimate_wait_s,
     may_meet_deadline,
 )
@@ -175,7 +175,7 @@
 def test_estimates(runs_s: list[float], ahead: int) -> None:
     """No request is refused without enough samples, and estimates stay in the measured range."""
     service = ServiceTime()
-    assert can_meet_deadline(service, 0, 0.001)
+    assert is_expected_to_meet_deadline(service, 0, 0.001)
     for run_s in runs_s:
         service = add_sample(service, run_s)
     assert min(runs_s) - TOLERANCE <= service.mean_s <= max(runs_s) + TOLERANCE
@@ -185,8 +185,8 @@
         return
     assert math.isclose(wait_s, service.mean_s * ahead / 4)
     longest_s = wait_s * WAIT_MARGIN + service.mean_s + service.deviation_s
-    assert can_meet_deadline(service, wait_s, longest_s + TOLERANCE)
-    assert not can_meet_deadline(service, wait_s, longest_s - 2 * TOLERANCE)
+    assert is_expected_to_meet_deadline(service, wait_s, longest_s + TOLERANCE)
+    assert not is_expected_to_meet_deadline(service, wait_s, longest_s - 2 * TOLERANCE)
     assert may_meet_deadline(service, service.mean_s)
     assert not may_meet_deadline(service, service.mean_s - 2 * service.deviation_s - TOLERANCE)
 
