--- a/comfreywind/decisions/service_time.py
+++ b/comfreywind/decisions/service_time.py
@@ -53,7 +53,7 @@
     return wait_s * WAIT_MARGIN + service.mean_s + service.deviation_s <= left_s
 
 
-def may_meet_deadline(service: ServiceTime, left_s: float) -> bool:
+def could_meet_deadline(service: ServiceTime, left_s: float) -> bool:
     """Return whether a request that starts now can end within `left_s` if its run is a short one.
 
     This weaker condition is for a request with no other waiting behind it: if it were refused, the
--- a/comfreywind/entry/dispatcher.py
+++ b/comfreywind/entry/dispatcher.py
@@ -14,7 +14,7 @@
 from comfreywind.decisions.service_time import (
     is_expected_to_meet_deadline,
     estimate_wait_s,
-    may_meet_deadline,
+    could_meet_deadline,
 )
 from comfreywind.entry.dispatch_policy import DispatchPolicy, SharesPolicy
 from comfreywind.entry.fleet_view import FleetView
@@ -227,7 +227,7 @@
         left_s = ticket.deadline_s - now_s
         if is_expected_to_meet_deadline(service, wait_s, left_s):
             return None
-        if not ahead and may_meet_deadline(service, left_s):
+        if not ahead and could_meet_deadline(service, left_s):
             return None
         return Refusal(
             RefusalReason.DEADLINE_IN_QUEUE,
@@ -281,7 +281,7 @@
         service = team.read_service(now_s)
         if team.waiting > 1:
             return not is_expected_to_meet_deadline(service, 0, left_s)
-        return not may_meet_deadline(service, left_s)
+        return not could_meet_deadline(service, left_s)
 
     def _refuse_late(self, pool: PoolQueue, waiter: Waiter) -> StartResult:
         self._end_waiting(pool, waiter, _refuse_waiting(pool))
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -16,7 +16,7 @@
     add_sample,
     is_expected_to_meet_deadline,
     estimate_wait_s,
-    may_meet_deadline,
+    could_meet_deadline,
 )
 from comfreywind.decisions.slot_rounding import compute_rounding_offset, round_to_slots
 from comfreywind.decisions.start_order import advance_virtual_time, choose_team
@@ -187,8 +187,8 @@
     longest_s = wait_s * WAIT_MARGIN + service.mean_s + service.deviation_s
     assert is_expected_to_meet_deadline(service, wait_s, longest_s + TOLERANCE)
     assert not is_expected_to_meet_deadline(service, wait_s, longest_s - 2 * TOLERANCE)
-    assert may_meet_deadline(service, service.mean_s)
-    assert not may_meet_deadline(service, service.mean_s - 2 * service.deviation_s - TOLERANCE)
+    assert could_meet_deadline(service, service.mean_s)
+    assert not could_meet_deadline(service, service.mean_s - 2 * service.deviation_s - TOLERANCE)
 
 
 @STEADY
