--- a/comfreywind/decisions/attempt.py
+++ b/comfreywind/decisions/attempt.py
@@ -30,14 +30,14 @@
 
     `byte_sent` is True if a byte of the request may have reached the target, `reused` if the
     connection had served another request before, and `silent` if the target has answered on a newer
-    connection while nothing was received on this one. `taken_s` is the duration of the attempt.
+    connection while nothing was received on this one. `elapsed_s` is the duration of the attempt.
     """
 
     end: AttemptEnd
     byte_sent: bool = True
     byte_received: bool = True
     reused: bool = False
-    taken_s: float = 0
+    elapsed_s: float = 0
     silent: bool = False
 
 
@@ -64,5 +64,5 @@
     if attempt.silent:
         return False
     if attempt.end is AttemptEnd.TIMED_OUT:
-        return not attempt.byte_received and attempt.taken_s >= MIN_FAILED_WAIT_S
+        return not attempt.byte_received and attempt.elapsed_s >= MIN_FAILED_WAIT_S
     return attempt.end not in {AttemptEnd.ANSWERED, AttemptEnd.REFUSED}
--- a/comfreywind/entry/target_call.py
+++ b/comfreywind/entry/target_call.py
@@ -69,14 +69,14 @@
             return self.describe(AttemptEnd.TIMED_OUT, trio.current_time() - started_s)
         return reply
 
-    def describe(self, end: AttemptEnd, taken_s: float = 0) -> Attempt:
+    def describe(self, end: AttemptEnd, elapsed_s: float = 0) -> Attempt:
         """Return the attempt as it ended."""
         if self._connection is None:
-            return Attempt(end, byte_sent=False, byte_received=False, taken_s=taken_s)
+            return Attempt(end, byte_sent=False, byte_received=False, elapsed_s=elapsed_s)
         stream = self._connection.stream
         reused = self._connection.reused
         silent = not stream.byte_received and self._connections.is_proven_silent(self._connection)
-        return Attempt(end, stream.byte_sent, stream.byte_received, reused, taken_s, silent)
+        return Attempt(end, stream.byte_sent, stream.byte_received, reused, elapsed_s, silent)
 
     async def _run_both(self, release: Release, run_until_s: float) -> TargetAnswer | Attempt:
         with self._first_scope:
--- a/tests/test_retry_decisions.py
+++ b/tests/test_retry_decisions.py
@@ -104,9 +104,9 @@
         (ERROR, True),
         (REFUSED, False),
         (Attempt(END.ANSWERED), False),
-        (Attempt(END.TIMED_OUT, byte_received=False, taken_s=0.1), False),
-        (Attempt(END.TIMED_OUT, byte_received=False, taken_s=10), True),
-        (Attempt(END.TIMED_OUT, byte_received=False, taken_s=10, silent=True), False),
+        (Attempt(END.TIMED_OUT, byte_received=False, elapsed_s=0.1), False),
+        (Attempt(END.TIMED_OUT, byte_received=False, elapsed_s=10), True),
+        (Attempt(END.TIMED_OUT, byte_received=False, elapsed_s=10, silent=True), False),
     ],
 )
 def test_what_counts_as_failure(attempt: Attempt, failure: bool) -> None:
