--- a/comfreywind/decisions/urgent_reserve.py
+++ b/comfreywind/decisions/urgent_reserve.py
@@ -4,7 +4,7 @@
 
 URGENT_START_S = 1.3
 # Fraction of URGENT_START_S in which a slot must become free; the rest is for reports and refusals.
-TURNOVER_PART = 0.5
+TURNOVER_RATIO = 0.5
 # If this many slots are expected to become free in that time, the probability that none does is
 # 0.03% (Poisson).
 SAFE_RELEASES = 8
@@ -23,7 +23,7 @@
     """
     if slots <= 0:
         return 0
-    turnover_s = URGENT_START_S * TURNOVER_PART
+    turnover_s = URGENT_START_S * TURNOVER_RATIO
     if 0 < mean_run_s <= turnover_s:
         return 0
     releases = slots * turnover_s / mean_run_s if mean_run_s > 0 else 0
