--- a/comfreywind/decisions/urgent_reserve.py
+++ b/comfreywind/decisions/urgent_reserve.py
@@ -2,8 +2,8 @@
 
 import math
 
-URGENT_START_S = 1.3
-# Fraction of URGENT_START_S in which a slot must become free; the rest is for reports and refusals.
+MAX_URGENT_WAIT_S = 1.3
+# Fraction of MAX_URGENT_WAIT_S in which a slot must become free; the rest is for reports and refusals.
 TURNOVER_RATIO = 0.5
 # If this many slots are expected to become free in that time, the probability that none does is
 # 0.03% (Poisson).
@@ -15,7 +15,7 @@
 
 
 def count_reserved_slots(slots: int, mean_run_s: float) -> int:
-    """Return how many slots to keep free so that urgent work starts within URGENT_START_S.
+    """Return how many slots to keep free so that urgent work starts within MAX_URGENT_WAIT_S.
 
     No slots are kept if runs are so short that slots become free in time anyway. A mean of 0 means
     that run times are unknown; they are then assumed to be long. Running urgent work does not lower
@@ -23,7 +23,7 @@
     """
     if slots <= 0:
         return 0
-    turnover_s = URGENT_START_S * TURNOVER_RATIO
+    turnover_s = MAX_URGENT_WAIT_S * TURNOVER_RATIO
     if 0 < mean_run_s <= turnover_s:
         return 0
     releases = slots * turnover_s / mean_run_s if mean_run_s > 0 else 0
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -25,7 +25,7 @@
 from comfreywind.decisions.urgent_reserve import (
     HIGHEST_RESERVE_RATIO,
     TURNOVER_RATIO,
-    URGENT_START_S,
+    MAX_URGENT_WAIT_S,
     count_reserved_slots,
 )
 from comfreywind.entry.team_queue import TeamQueue
@@ -163,7 +163,7 @@
     """Slots must be reserved if turnover is too slow, but not more than the highest ratio."""
     reserved = count_reserved_slots(slots, mean_run_s)
     assert 0 <= reserved <= max(1, slots * HIGHEST_RESERVE_RATIO)
-    if mean_run_s <= URGENT_START_S * TURNOVER_RATIO:
+    if mean_run_s <= MAX_URGENT_WAIT_S * TURNOVER_RATIO:
         assert reserved == 0
     elif slots:
         assert reserved >= min(2, max(1, int(slots * HIGHEST_RESERVE_RATIO)))
