--- a/comfreywind/decisions/urgent_reserve.py
+++ b/comfreywind/decisions/urgent_reserve.py
@@ -8,7 +8,7 @@
 # If this many slots are expected to become free in that time, the probability that none does is
 # 0.03% (Poisson).
 SAFE_RELEASES = 8
-HIGHEST_RESERVE_RATIO = 0.125
+MAX_RESERVE_RATIO = 0.125
 # A burst starts many runs at the same time, which then also end at the same time. In between, no
 # slot becomes free, whatever the mean run time.
 MIN_RESERVED_SLOTS = 2
@@ -28,4 +28,4 @@
         return 0
     releases = slots * turnover_s / mean_run_s if mean_run_s > 0 else 0
     wanted = max(MIN_RESERVED_SLOTS, math.ceil(SAFE_RELEASES - releases))
-    return min(wanted, max(1, int(slots * HIGHEST_RESERVE_RATIO)))
+    return min(wanted, max(1, int(slots * MAX_RESERVE_RATIO)))
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -23,7 +23,7 @@
 from comfreywind.decisions.target_choice import choose_target
 from comfreywind.decisions.team_load import TeamLoad
 from comfreywind.decisions.urgent_reserve import (
-    HIGHEST_RESERVE_RATIO,
+    MAX_RESERVE_RATIO,
     TURNOVER_RATIO,
     MAX_URGENT_WAIT_S,
     count_reserved_slots,
@@ -162,11 +162,11 @@
 def test_urgent_reserve(slots: int, mean_run_s: float) -> None:
     """Slots must be reserved if turnover is too slow, but not more than the highest ratio."""
     reserved = count_reserved_slots(slots, mean_run_s)
-    assert 0 <= reserved <= max(1, slots * HIGHEST_RESERVE_RATIO)
+    assert 0 <= reserved <= max(1, slots * MAX_RESERVE_RATIO)
     if mean_run_s <= MAX_URGENT_WAIT_S * TURNOVER_RATIO:
         assert reserved == 0
     elif slots:
-        assert reserved >= min(2, max(1, int(slots * HIGHEST_RESERVE_RATIO)))
+        assert reserved >= min(2, max(1, int(slots * MAX_RESERVE_RATIO)))
     assert count_reserved_slots(slots, mean_run_s * 2) >= reserved
 
 
