--- a/comfreywind/decisions/pools/spares.py
+++ b/comfreywind/decisions/pools/spares.py
@@ -113,4 +113,4 @@
     health = snapshot.health.get(vm.name)
     if vm.state != VmState.SUSPECT or health is None:
         return False
-    return not health.works and health.for_s >= snapshot.policy.suspect_s
+    return not health.works and health.unchanged_s >= snapshot.policy.suspect_s
--- a/comfreywind/decisions/pools/vm_health.py
+++ b/comfreywind/decisions/pools/vm_health.py
@@ -12,6 +12,6 @@
     """
 
     works: bool
-    for_s: float
+    unchanged_s: float
     listed: bool
     incarnation: int
--- a/comfreywind/decisions/pools/vm_steps.py
+++ b/comfreywind/decisions/pools/vm_steps.py
@@ -66,15 +66,15 @@
 
 
 def _mark_suspect(vm: PoolVm, health: VmHealth, snapshot: PoolSnapshot) -> VmChange | None:
-    if health.works or health.for_s < snapshot.policy.doubt_s:
+    if health.works or health.unchanged_s < snapshot.policy.doubt_s:
         return None
     after = replace(vm, state=VmState.SUSPECT, move_to=None, since_s=snapshot.now_s)
     cause = 'the VM is gone, leaving or does not accept connections'
-    return VmChange('failure', vm, after, cause, {'for_s': round(health.for_s, 3)})
+    return VmChange('failure', vm, after, cause, {'for_s': round(health.unchanged_s, 3)})
 
 
 def _is_off_list_too_long(health: VmHealth, snapshot: PoolSnapshot) -> bool:
-    return not health.listed and health.for_s >= snapshot.policy.retire_s
+    return not health.listed and health.unchanged_s >= snapshot.policy.retire_s
 
 
 def _detect_reboot_end(vm: PoolVm, health: VmHealth, snapshot: PoolSnapshot) -> VmChange | None:
@@ -103,9 +103,11 @@
 
     The wait keeps a flapping VM out of use.
     """
-    if not health.works or health.for_s < snapshot.policy.suspect_s:
+    if not health.works or health.unchanged_s < snapshot.policy.suspect_s:
         return None
     after = replace(
         vm, state=VmState.ACTIVE, incarnation=health.incarnation, since_s=snapshot.now_s
     )
-    return VmChange('failure', vm, after, 'the VM works again', {'for_s': round(health.for_s, 3)})
+    return VmChange(
+        'failure', vm, after, 'the VM works again', {'for_s': round(health.unchanged_s, 3)}
+    )
--- a/tests/decisions/test_pool_plan.py
+++ b/tests/decisions/test_pool_plan.py
@@ -13,7 +13,7 @@
 from tests.helpers.pools import NOW_S, POLICY, SPARE_POLICY, make_health, make_snapshot, make_vms
 
 RACK = replace(POLICY, tolerate='rack')
-GONE = VmHealth(works=False, for_s=20, listed=False, incarnation=0)
+GONE = VmHealth(works=False, unchanged_s=20, listed=False, incarnation=0)
 BUDGET_CASES = (
     # Policy, VMs, VMs per rack, failing VMs, required VMs, margin.
     (POLICY, 8, 4, 0, 4, 4),
@@ -110,15 +110,15 @@
 
 HEALTH_CASES = (
     # State, health, state afterwards (None: the row is deleted).
-    (VmState.ACTIVE, make_health(works=False, for_s=0.5), VmState.ACTIVE),
-    (VmState.ACTIVE, make_health(works=False, for_s=2), VmState.SUSPECT),
+    (VmState.ACTIVE, make_health(works=False, unchanged_s=0.5), VmState.ACTIVE),
+    (VmState.ACTIVE, make_health(works=False, unchanged_s=2), VmState.SUSPECT),
     (VmState.DRAINING, GONE, VmState.SUSPECT),
-    (VmState.SUSPECT, make_health(for_s=9), VmState.SUSPECT),
-    (VmState.SUSPECT, make_health(for_s=10), VmState.ACTIVE),
+    (VmState.SUSPECT, make_health(unchanged_s=9), VmState.SUSPECT),
+    (VmState.SUSPECT, make_health(unchanged_s=10), VmState.ACTIVE),
     (VmState.REBOOTING, make_health(1), VmState.REBOOTING),
     (VmState.REBOOTING, make_health(2), VmState.ACTIVE),
     (VmState.REBOOTING, make_health(2, works=False), VmState.REBOOTING),
-    (VmState.SUSPECT, replace(GONE, for_s=101), None),
+    (VmState.SUSPECT, replace(GONE, unchanged_s=101), None),
 )
 
 
@@ -138,7 +138,7 @@
     vms = make_vms('crossings', 4)
     suspects = tuple(replace(vm, state=VmState.SUSPECT) for vm in vms[1:])
     spares = make_vms('reserve', borrowed, pool='crossings', pool_since_s=NOW_S)
-    health = {vm.name: make_health(works=False, for_s=failed_for_s) for vm in suspects}
+    health = {vm.name: make_health(works=False, unchanged_s=failed_for_s) for vm in suspects}
     return make_snapshot(
         (vms[0], *suspects, *spares), health=health, free_spares={'reserve': 3, 'other': 1}
     )
@@ -171,7 +171,7 @@
     """A spare VM must return once the hold time is over, but not while it is needed."""
     vms = make_vms('crossings', 4, last_maintained_s=NOW_S)
     spare = make_vms('reserve', 1, pool='crossings', pool_since_s=NOW_S - held_s)
-    health = {vm.name: make_health(works=False, for_s=0) for vm in vms[:failing]}
+    health = {vm.name: make_health(works=False, unchanged_s=0) for vm in vms[:failing]}
     plan = plan_pool(make_snapshot((*vms, *spare), health=health), {'reserve': 1})
     assert (list_changed(plan, VmState.DRAINING) == ['reserve-0']) == returns
     assert plan.wanted == ({} if returns else {'reserve': 1})
--- a/tests/helpers/pools.py
+++ b/tests/helpers/pools.py
@@ -57,6 +57,6 @@
     )
 
 
-def make_health(incarnation: int = 1, works: bool = True, for_s: float = 100) -> VmHealth:
+def make_health(incarnation: int = 1, works: bool = True, unchanged_s: float = 100) -> VmHealth:
     """Return the health of a VM that has worked, or failed, for the time."""
-    return VmHealth(works, for_s, listed=True, incarnation=incarnation)
+    return VmHealth(works, unchanged_s, listed=True, incarnation=incarnation)
