--- a/comfreywind/decisions/capacity_rule.py
+++ b/comfreywind/decisions/capacity_rule.py
@@ -36,7 +36,7 @@
     peers_below_quota: bool
 
 
-def decide_capacity_rule(room: PoolCapacity, urgent: bool) -> CapacityRule:
+def decide_capacity_rule(pool: PoolCapacity, urgent: bool) -> CapacityRule:
     """Return which targets the next request may be sent to.
 
     An entry is the first to know that a slot is free when its own request has ended, so it would
@@ -45,10 +45,10 @@
     """
     if urgent:
         return CapacityRule.ANY
-    if room.urgent_ready_at_peers and room.free_slots <= room.urgent_ready_at_peers:
+    if pool.urgent_ready_at_peers and pool.free_slots <= pool.urgent_ready_at_peers:
         return CapacityRule.NONE
-    if room.running < room.quota_slots:
+    if pool.running < pool.quota_slots:
         return CapacityRule.ANY
-    if room.peers_below_quota or room.free_slots <= room.reserved_slots:
+    if pool.peers_below_quota or pool.free_slots <= pool.reserved_slots:
         return CapacityRule.NONE
     return CapacityRule.KNOWN_FREE_CAPACITY
--- a/comfreywind/decisions/pools/pool_plan.py
+++ b/comfreywind/decisions/pools/pool_plan.py
@@ -11,8 +11,8 @@
 from comfreywind.decisions.pools.vm_steps import (
     begin_stop,
     cancel_drain,
-    finish_drain,
     decide_health_change,
+    finish_drain,
 )
 from comfreywind.decisions.pools.wave import (
     StopChooser,
@@ -57,13 +57,13 @@
 
 
 def plan_pool(
-    snapshot: PoolSnapshot, asked: dict[str, int], choose: StopChooser = choose_stops
+    snapshot: PoolSnapshot, requested_counts: dict[str, int], choose: StopChooser = choose_stops
 ) -> PoolPlan:
     """Return the changes to make in the pool now.
 
-    `asked` is the number of VMs already requested from each spare pool. The order of the steps
-    matters: observed failures first, then the repair of a broken budget (planned stops and moves
-    that are still draining are cancelled), and only then reboots, new stops and moves.
+    `requested_counts` is the number of VMs already requested from each spare pool. The order of the
+    steps matters: observed failures first, then the repair of a broken budget (planned stops and
+    moves that are still draining are cancelled), and only then reboots, new stops and moves.
     """
     draft = _Draft(snapshot.vms)
     steps = [decide_health_change(vm, snapshot) for vm in snapshot.vms]
@@ -80,7 +80,7 @@
     return PoolPlan(
         changes=tuple(draft.changes.values()),
         vms=vms,
-        wanted=compute_wanted_spares(snapshot, vms, asked),
+        wanted=compute_wanted_spares(snapshot, vms, requested_counts),
         budget=compute_budget(vms, snapshot.list_failing(), snapshot.policy),
         wave=wave,
     )
--- a/comfreywind/decisions/pools/spares.py
+++ b/comfreywind/decisions/pools/spares.py
@@ -36,7 +36,7 @@
 
 
 def compute_wanted_spares(
-    snapshot: PoolSnapshot, vms: tuple[PoolVm, ...], asked: dict[str, int]
+    snapshot: PoolSnapshot, vms: tuple[PoolVm, ...], requested_counts: dict[str, int]
 ) -> dict[str, int]:
     """Return how many VMs this pool wants from each spare pool, including those borrowed already.
 
@@ -50,7 +50,7 @@
     shortage = -compute_budget(vms, snapshot.list_failing(), snapshot.policy).margin
     replacements = min(shortage, _count_missing(snapshot, vms) - len(borrowed))
     additional = max(replacements, _count_maintenance_spares(snapshot, vms))
-    spare_pool = _choose_spare_pool(snapshot, asked, wanted)
+    spare_pool = _choose_spare_pool(snapshot, requested_counts, wanted)
     if additional > 0 and spare_pool is not None:
         wanted[spare_pool] += additional
     return dict(sorted(wanted.items()))
@@ -94,13 +94,15 @@
 
 
 def _choose_spare_pool(
-    snapshot: PoolSnapshot, asked: dict[str, int], wanted: Mapping[str, int]
+    snapshot: PoolSnapshot, requested_counts: dict[str, int], wanted: Mapping[str, int]
 ) -> str | None:
     """Return the spare pool to request VMs from.
 
     This is one with a request still open, otherwise the one with the most free VMs.
     """
-    pending = sorted(pool for pool, count in asked.items() if count > wanted.get(pool, 0))
+    pending = sorted(
+        pool for pool, count in requested_counts.items() if count > wanted.get(pool, 0)
+    )
     if pending and snapshot.free_spares.get(pending[0], 0):
         return pending[0]
     free = sorted((-count, pool) for pool, count in snapshot.free_spares.items() if count)
--- a/comfreywind/decisions/portions/fence_attempt.py
+++ b/comfreywind/decisions/portions/fence_attempt.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, replace
 
-from comfreywind.decisions.portions.session_timing import SessionTiming
 from comfreywind.decisions.portions.number_map import NumberMap
+from comfreywind.decisions.portions.session_timing import SessionTiming
 
 Agreement = tuple[str, tuple[tuple[str, NumberMap], ...]]
 
@@ -23,28 +23,30 @@
     agreements: tuple[Agreement, ...] = ()
 
 
-def is_expired(case: FenceAttempt, timing: SessionTiming, now_s: float) -> bool:
+def is_expired(fence_attempt: FenceAttempt, timing: SessionTiming, now_s: float) -> bool:
     """Return whether the session that began with the renewal has certainly ended."""
-    return now_s >= case.first_seen_s + timing.observed_ttl_s
+    return now_s >= fence_attempt.first_seen_s + timing.observed_ttl_s
 
 
-def add_agreement(case: FenceAttempt, renewal_number: int, agreement: Agreement) -> FenceAttempt:
+def add_agreement(
+    fence_attempt: FenceAttempt, renewal_number: int, agreement: Agreement
+) -> FenceAttempt:
     """Return the attempt with the agreement; one for another renewal number is ignored."""
-    if renewal_number != case.renewal_number:
-        return case
-    others = [known for known in case.agreements if known[0] != agreement[0]]
-    return replace(case, agreements=tuple(sorted([*others, agreement])))
+    if renewal_number != fence_attempt.renewal_number:
+        return fence_attempt
+    others = [earlier for earlier in fence_attempt.agreements if earlier[0] != agreement[0]]
+    return replace(fence_attempt, agreements=tuple(sorted([*others, agreement])))
 
 
-def list_missing_members(case: FenceAttempt, members: frozenset[str]) -> frozenset[str]:
+def list_missing_members(fence_attempt: FenceAttempt, members: frozenset[str]) -> frozenset[str]:
     """Return the members that have not agreed yet."""
-    return members - {case.holder} - {name for name, _ in case.agreements}
+    return members - {fence_attempt.holder} - {name for name, _ in fence_attempt.agreements}
 
 
-def collect_flows(case: FenceAttempt) -> dict[str, NumberMap]:
+def collect_flows(fence_attempt: FenceAttempt) -> dict[str, NumberMap]:
     """Return the flows to and from the holder that the members reported, by resource."""
     flows: dict[str, NumberMap] = {}
-    for _, resources in case.agreements:
-        for resource, totals in resources:
-            flows[resource] = tuple(sorted({*flows.get(resource, ()), *totals}))
+    for _, resources in fence_attempt.agreements:
+        for resource, reported_flows in resources:
+            flows[resource] = tuple(sorted({*flows.get(resource, ()), *reported_flows}))
     return flows
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/session_transitions.py
@@ -3,23 +3,23 @@
 from dataclasses import replace
 from functools import singledispatch
 
-from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
+from comfreywind.decisions.portions.number_map import NumberMap, get_number, raise_number
 from comfreywind.decisions.portions.session_effects import (
     AgreeToFence,
     GrantPromise,
-    SessionEffect,
     RefusePromise,
+    SessionEffect,
 )
 from comfreywind.decisions.portions.session_events import (
-    FenceRequested,
     FenceObserved,
-    SessionEvent,
-    PromiseRequested,
+    FenceRequested,
     PromiseReceived,
+    PromiseRequested,
     RenewalConfirmed,
     RenewalObserved,
+    SessionEvent,
 )
-from comfreywind.decisions.portions.number_map import NumberMap, raise_number, get_number
+from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
 
 SessionTransition = tuple[SessionState, tuple[SessionEffect, ...]]
 
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -3,14 +3,14 @@
 import pytest
 
 from comfreywind.decisions.freshness import (
-    count_needed_reports,
     compute_confirmed_s,
+    count_needed_reports,
     list_view_sources,
 )
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
-from comfreywind.decisions.row_digest import update_digest
 from comfreywind.decisions.resolve_write import WriteOutcome, resolve_write
+from comfreywind.decisions.row_digest import update_digest
 from comfreywind.decisions.view_summary import ViewSummary
 
 OWN = OwnView(ViewSummary(2, 10, 20), 2, frozenset({11}), frozenset({21}))
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(('case', 'reports', 'confirmed_s'), CONFIRMED_CASES)
 def test_confirmed(case: str, reports: list[tuple[float, ViewSummary]], confirmed_s: float) -> None:
     """A view must not be confirmed by too few or too old reports, or while a newer one exists."""
-    peer_reports = [PeerReport('peer', as_of_s, mark) for as_of_s, mark in reports]
+    peer_reports = [PeerReport('peer', as_of_s, summary) for as_of_s, summary in reports]
     assert compute_confirmed_s(OWN, peer_reports, 2, oldest_s=5) == confirmed_s, case
 
 
@@ -68,13 +68,13 @@
 
 def test_sources() -> None:
     """Only peers with something new are asked, and the one with the newest bundle first."""
-    marks = {
+    summaries = {
         'a': SAME,
         'b': ViewSummary(2, 12, 20),
         'c': ViewSummary(3, 10, 20),
         'd': ViewSummary(0, 0, 0),
     }
-    reports = [PeerReport(name, 9, mark) for name, mark in marks.items()]
+    reports = [PeerReport(name, 9, summary) for name, summary in summaries.items()]
     assert list_view_sources(OWN, reports) == ['c', 'b']
 
 
@@ -87,6 +87,6 @@
 
 
 @pytest.mark.parametrize(('expected', 'found', 'write_id', 'outcome'), WRITE_CASES)
-def test_settle_write(expected: int, found: int, write_id: str, outcome: WriteOutcome) -> None:
+def test_resolve_write(expected: int, found: int, write_id: str, outcome: WriteOutcome) -> None:
     """A write must not be reported as applied or refused unless the row proves it."""
     assert resolve_write(expected, 'own', found, write_id) is outcome
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -2,25 +2,25 @@
 
 import pytest
 
-from comfreywind.decisions.portions.session_state import SessionState
-from comfreywind.decisions.portions.session_effects import GrantPromise, RefusePromise
-from comfreywind.decisions.portions.session_events import (
-    FenceRequested,
-    PromiseRequested,
-    RenewalObserved,
-)
-from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import is_blocked
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.reclaim import Reclaim
 from comfreywind.decisions.portions.row_changes import (
+    allocate_free_units,
     record_flow,
     set_ceiling,
     settle_holder,
-    allocate_free_units,
 )
+from comfreywind.decisions.portions.session_effects import GrantPromise, RefusePromise
+from comfreywind.decisions.portions.session_events import (
+    FenceRequested,
+    PromiseRequested,
+    RenewalObserved,
+)
+from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.session_timing import SessionTiming
+from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.unit_shares import UnitDemand, decide_transfer
 
 ROW = PortionRow(10, 1, recorded=(('a@1', 4), ('b@1', 2)))
@@ -34,7 +34,7 @@
     ('until the turn is over', UnitDemand(1, 10), UnitDemand(0, 10), 9, True, 1),
     ('nothing held, nothing given', UnitDemand(0, 5), UnitDemand(0, 10), 9, True, 0),
 )
-TAKE_CASES = ((1, 1), (2, 2), (9, 2))
+ALLOCATION_CASES = ((1, 1), (2, 2), (9, 2))
 
 
 @pytest.mark.parametrize(
@@ -47,11 +47,11 @@
     assert decide_transfer(own, asking, wanted, turn_over) == transfer, case
 
 
-@pytest.mark.parametrize(('wanted', 'taken'), TAKE_CASES)
-def test_takes_half_of_the_free_units(wanted: int, taken: int) -> None:
+@pytest.mark.parametrize(('wanted', 'allocated'), ALLOCATION_CASES)
+def test_takes_half_of_the_free_units(wanted: int, allocated: int) -> None:
     """The first entry must not get all free units, and none must get more than it wants."""
     row = allocate_free_units(ROW, 'c@1', wanted)
-    assert dict(row.recorded)['c@1'] == taken
+    assert dict(row.recorded)['c@1'] == allocated
     assert allocate_free_units(row, 'c@1', 0) == row
 
 
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -20,25 +20,25 @@
     is_expired,
     list_missing_members,
 )
-from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
+from comfreywind.decisions.portions.portion_row import PortionRow
+from comfreywind.decisions.portions.row_changes import (
+    allocate_free_units,
+    finish_reclaim,
+    settle_holder,
+)
 from comfreywind.decisions.portions.session_effects import AgreeToFence, GrantPromise
 from comfreywind.decisions.portions.session_events import (
-    FenceRequested,
     FenceObserved,
-    SessionEvent,
-    PromiseRequested,
+    FenceRequested,
     PromiseReceived,
+    PromiseRequested,
     RenewalConfirmed,
     RenewalObserved,
+    SessionEvent,
 )
-from comfreywind.decisions.portions.session_transitions import apply_session_event
-from comfreywind.decisions.portions.portion_row import PortionRow
-from comfreywind.decisions.portions.row_changes import (
-    finish_reclaim,
-    settle_holder,
-    allocate_free_units,
-)
+from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
 from comfreywind.decisions.portions.session_timing import SessionTiming
+from comfreywind.decisions.portions.session_transitions import apply_session_event
 
 NOW = 10
 MAX_RUN = 1
--- a/tests/model/move_model.py
+++ b/tests/model/move_model.py
@@ -18,7 +18,7 @@
 FIELDS = ('rows', 'members', 'reports', 'fenced', 'limit_passed', 'confirmed', 'pending')
 MEMBERS_COUNT = 2
 ROWS_LIMIT = 4
-GRACEFUL_S = 10.0
+RUN_LIMIT_S = 10.0
 FIRST_ROW = make_vms('crossings', 1)[0]
 
 
@@ -168,8 +168,8 @@
     drain = Drain(
         row_sequence=len(state.rows),
         confirmed_s=0 if state.confirmed == len(state.rows) else None,
-        unreported_until_s=GRACEFUL_S if waits else 0,
-        run_limit_s=GRACEFUL_S,
+        unreported_until_s=RUN_LIMIT_S if waits else 0,
+        run_limit_s=RUN_LIMIT_S,
     )
     return is_drained(drain, reports, now_s=1)
 
--- a/tests/model/transfer_model.py
+++ b/tests/model/transfer_model.py
@@ -18,23 +18,23 @@
 from comfreywind.decisions.portions.holder_name import is_settled
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import (
+    apply_row,
     count_held_units,
     give_units,
     list_flows_with,
     receive_units,
     record_flows,
-    apply_row,
     start_write,
 )
+from comfreywind.decisions.portions.number_map import NumberMap, get_number
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import (
+    allocate_free_units,
     finish_reclaim,
     mentions_holder,
     return_units,
     settle_holder,
-    allocate_free_units,
 )
-from comfreywind.decisions.portions.number_map import NumberMap, get_number
 
 NAMES = ('a@1', 'b@1')
 THIRD = 'c@1'
--- a/tests/model/view_model.py
+++ b/tests/model/view_model.py
@@ -14,7 +14,7 @@
 
 from minicheck import Protocol
 
-from comfreywind.decisions.freshness import count_needed_reports, compute_confirmed_s, is_fresh
+from comfreywind.decisions.freshness import compute_confirmed_s, count_needed_reports, is_fresh
 from comfreywind.decisions.own_view import OwnView
 from comfreywind.decisions.peer_report import PeerReport
 from comfreywind.decisions.versions import is_newer_version
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -7,25 +7,25 @@
 from hypothesis import strategies as st
 
 from comfreywind.bundle.rules import TeamRules
+from comfreywind.decisions.capacity_rule import CapacityRule, PoolCapacity, decide_capacity_rule
 from comfreywind.decisions.fair_share import ShareClaim, compute_fair_shares
-from comfreywind.decisions.slot_allocation import allocate_slots
-from comfreywind.decisions.capacity_rule import PoolCapacity, CapacityRule, decide_capacity_rule
 from comfreywind.decisions.service_time import (
     WAIT_MARGIN,
     ServiceTime,
     add_sample,
-    is_expected_to_meet_deadline,
-    estimate_wait_s,
     could_meet_deadline,
+    estimate_wait_s,
+    is_expected_to_meet_deadline,
 )
+from comfreywind.decisions.slot_allocation import allocate_slots
 from comfreywind.decisions.slot_rounding import compute_rounding_offset, round_to_slots
 from comfreywind.decisions.start_order import advance_virtual_time, choose_team
 from comfreywind.decisions.target_choice import choose_target
 from comfreywind.decisions.team_load import TeamLoad
 from comfreywind.decisions.urgent_reserve import (
     MAX_RESERVE_RATIO,
-    TURNOVER_RATIO,
     MAX_URGENT_WAIT_S,
+    TURNOVER_RATIO,
     count_reserved_slots,
 )
 from comfreywind.entry.team_queue import TeamQueue
@@ -143,15 +143,15 @@
         peers_below_quota=st.booleans(),
     )
 )
-def test_room(room: PoolCapacity) -> None:
+def test_capacity_rule(pool: PoolCapacity) -> None:
     """An entry must not use slots of peers or of urgent work, nor wait while it may use one."""
-    rule = decide_capacity_rule(room, urgent=False)
-    assert decide_capacity_rule(room, urgent=True) is CapacityRule.ANY
-    if room.urgent_ready_at_peers >= max(1, room.free_slots):
+    rule = decide_capacity_rule(pool, urgent=False)
+    assert decide_capacity_rule(pool, urgent=True) is CapacityRule.ANY
+    if pool.urgent_ready_at_peers >= max(1, pool.free_slots):
         assert rule is CapacityRule.NONE
-    elif room.running < room.quota_slots:
+    elif pool.running < pool.quota_slots:
         assert rule is CapacityRule.ANY
-    elif room.peers_below_quota or room.free_slots <= room.reserved_slots:
+    elif pool.peers_below_quota or pool.free_slots <= pool.reserved_slots:
         assert rule is CapacityRule.NONE
     else:
         assert rule is CapacityRule.KNOWN_FREE_CAPACITY
