--- a/comfreywind/decisions/capacity_rule.py
+++ b/comfreywind/decisions/capacity_rule.py
@@ -7,9 +7,9 @@
 class CapacityRule(enum.Enum):
     """Targets that a request may be sent to.
 
-    `KNOWN_FREE_CAPACITY` are the targets that have a free slot as far as this entry knows. `ANY` includes
-    targets that peers have reported as full: such a report may be out of date, the target itself
-    refuses a request for which it has no slot, and a refusal costs one round trip.
+    `KNOWN_FREE_CAPACITY` are the targets that have a free slot as far as this entry knows. `ANY`
+    includes targets that peers have reported as full: such a report may be out of date, the target
+    itself refuses a request for which it has no slot, and a refusal costs one round trip.
     """
 
     NONE = 'none'
--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -116,5 +116,5 @@
     return row
 
 
-def _list_unsettled(totals: NumberMap, row: PortionRow) -> NumberMap:
-    return tuple(pair for pair in totals if not is_settled(row.settled, pair[0]))
+def _list_unsettled(flows: NumberMap, row: PortionRow) -> NumberMap:
+    return tuple(pair for pair in flows if not is_settled(row.settled, pair[0]))
--- a/comfreywind/decisions/slot_allocation.py
+++ b/comfreywind/decisions/slot_allocation.py
@@ -17,8 +17,8 @@
 
     `entitlements` is each team's share of the pool in slots, `quotas` this entry's share of each
     entitlement, and `slots` the sum of the quotas as a whole number. A team that had no demand when
-    the slots were divided gets `default_quota_per_weight` for each unit of its weight. `urgent_running` is,
-    by team, the number of running urgent requests of all entries.
+    the slots were divided gets `default_quota_per_weight` for each unit of its weight.
+    `urgent_running` is, by team, the number of running urgent requests of all entries.
     """
 
     entitlements: dict[str, float] = field(default_factory=dict)
--- a/comfreywind/decisions/urgent_reserve.py
+++ b/comfreywind/decisions/urgent_reserve.py
@@ -3,7 +3,8 @@
 import math
 
 MAX_URGENT_WAIT_S = 1.3
-# Fraction of MAX_URGENT_WAIT_S in which a slot must become free; the rest is for reports and refusals.
+# Fraction of MAX_URGENT_WAIT_S in which a slot must become free; the rest is for reports and
+# refusals.
 TURNOVER_RATIO = 0.5
 # If this many slots are expected to become free in that time, the probability that none does is
 # 0.03% (Poisson).
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -47,11 +47,11 @@
     assert decide_transfer(own, asking, wanted, turn_over) == transfer, case
 
 
-@pytest.mark.parametrize(('wanted', 'allocated'), ALLOCATION_CASES)
-def test_takes_half_of_the_free_units(wanted: int, allocated: int) -> None:
+@pytest.mark.parametrize(('wanted', 'taken'), ALLOCATION_CASES)
+def test_takes_half_of_the_free_units(wanted: int, taken: int) -> None:
     """The first entry must not get all free units, and none must get more than it wants."""
     row = allocate_free_units(ROW, 'c@1', wanted)
-    assert dict(row.recorded)['c@1'] == allocated
+    assert dict(row.recorded)['c@1'] == taken
     assert allocate_free_units(row, 'c@1', 0) == row
 
 
