--- a/comfreywind/decisions/pools/pool_plan.py
+++ b/comfreywind/decisions/pools/pool_plan.py
@@ -6,9 +6,14 @@
 from comfreywind.decisions.pools.budget import Budget, compute_budget
 from comfreywind.decisions.pools.pool_snapshot import PoolSnapshot
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
-from comfreywind.decisions.pools.spares import choose_wanted, give_spares, return_spares
+from comfreywind.decisions.pools.spares import compute_wanted_spares, lend_spares, return_spares
 from comfreywind.decisions.pools.vm_change import VmChange
-from comfreywind.decisions.pools.vm_steps import begin_stop, cancel_drain, finish_drain, observe_vm
+from comfreywind.decisions.pools.vm_steps import (
+    begin_stop,
+    cancel_drain,
+    decide_health_change,
+    finish_drain,
+)
 from comfreywind.decisions.pools.wave import (
     StopChooser,
     Wave,
@@ -52,22 +57,22 @@
 
 
 def plan_pool(
-    snapshot: PoolSnapshot, asked: dict[str, int], choose: StopChooser = choose_stops
+    snapshot: PoolSnapshot, requested_counts: dict[str, int], choose: StopChooser = choose_stops
 ) -> PoolPlan:
     """Return the changes to make in the pool now.
 
-    `asked` is the number of VMs already requested from each spare pool. The order of the steps
-    matters: observed failures first, then the repair of a broken budget (planned stops and moves
-    that are still draining are cancelled), and only then reboots, new stops and moves.
+    `requested_counts` is the number of VMs already requested from each spare pool. The order of the
+    steps matters: observed failures first, then the repair of a broken budget (planned stops and
+    moves that are still draining are cancelled), and only then reboots, new stops and moves.
     """
     draft = _Draft(snapshot.vms)
-    steps = [observe_vm(vm, snapshot) for vm in snapshot.vms]
+    steps = [decide_health_change(vm, snapshot) for vm in snapshot.vms]
     draft.apply(step for step in steps if step is not None)
     draft.apply(_cancel_drains(snapshot, draft.vms))
     draft.apply(_finish_drains(snapshot, draft.vms))
     own = _list_own(snapshot, draft)
     draft.apply(return_spares(snapshot, own))
-    draft.apply(give_spares(snapshot, own))
+    draft.apply(lend_spares(snapshot, own))
     wave = describe_wave(snapshot, _list_own(snapshot, draft))
     if wave.state == WaveState.RUNNING:
         draft.apply(_begin_stops(snapshot, _list_own(snapshot, draft), choose))
@@ -75,8 +80,8 @@
     return PoolPlan(
         changes=tuple(draft.changes.values()),
         vms=vms,
-        wanted=choose_wanted(snapshot, vms, asked),
-        budget=compute_budget(vms, snapshot.find_failing(), snapshot.policy),
+        wanted=compute_wanted_spares(snapshot, vms, requested_counts),
+        budget=compute_budget(vms, snapshot.list_failing(), snapshot.policy),
         wave=wave,
     )
 
@@ -87,7 +92,7 @@
 
 def _cancel_drains(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[VmChange]:
     """Return changes that cancel the latest drains while the budget is broken."""
-    margin = compute_budget(vms, snapshot.find_failing(), snapshot.policy).margin
+    margin = compute_budget(vms, snapshot.list_failing(), snapshot.policy).margin
     if snapshot.policy.spare or margin >= 0:
         return []
     draining = sorted(
@@ -108,7 +113,7 @@
 def _begin_stops(
     snapshot: PoolSnapshot, vms: tuple[PoolVm, ...], choose: StopChooser
 ) -> list[VmChange]:
-    budget = compute_budget(vms, snapshot.find_failing(), snapshot.policy)
+    budget = compute_budget(vms, snapshot.list_failing(), snapshot.policy)
     inputs: dict[str, object] = {
         'available': budget.available,
         'required': budget.required,
--- a/comfreywind/decisions/pools/spares.py
+++ b/comfreywind/decisions/pools/spares.py
@@ -9,7 +9,7 @@
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
 from comfreywind.decisions.pools.vm_change import VmChange
 from comfreywind.decisions.pools.vm_steps import begin_move
-from comfreywind.decisions.pools.wave import list_due
+from comfreywind.decisions.pools.wave import list_due_vms
 
 
 def _count_missing(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> int:
@@ -26,8 +26,8 @@
 
     While any VM is unavailable, the result is 0, because maintenance waits for its return.
     """
-    due = list_due(snapshot, vms)
-    failing = snapshot.find_failing()
+    due = list_due_vms(snapshot, vms)
+    failing = snapshot.list_failing()
     if not due or failing or any(vm.state != VmState.ACTIVE for vm in vms):
         return 0
     overdue = snapshot.now_s - due[0].last_maintained_s >= snapshot.policy.maintenance_period_s
@@ -35,8 +35,8 @@
     return int(overdue and margin == -1 and snapshot.policy.maintenance_enabled)
 
 
-def choose_wanted(
-    snapshot: PoolSnapshot, vms: tuple[PoolVm, ...], asked: dict[str, int]
+def compute_wanted_spares(
+    snapshot: PoolSnapshot, vms: tuple[PoolVm, ...], requested_counts: dict[str, int]
 ) -> dict[str, int]:
     """Return how many VMs this pool wants from each spare pool, including those borrowed already.
 
@@ -47,20 +47,20 @@
         return {}
     borrowed = [vm for vm in vms if vm.borrowed and vm.move_to is None]
     wanted = Counter(vm.home_pool for vm in borrowed)
-    shortage = -compute_budget(vms, snapshot.find_failing(), snapshot.policy).margin
+    shortage = -compute_budget(vms, snapshot.list_failing(), snapshot.policy).margin
     replacements = min(shortage, _count_missing(snapshot, vms) - len(borrowed))
     additional = max(replacements, _count_maintenance_spares(snapshot, vms))
-    spare_pool = _choose_spare_pool(snapshot, asked, wanted)
+    spare_pool = _choose_spare_pool(snapshot, requested_counts, wanted)
     if additional > 0 and spare_pool is not None:
         wanted[spare_pool] += additional
     return dict(sorted(wanted.items()))
 
 
-def give_spares(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[VmChange]:
+def lend_spares(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[VmChange]:
     """Return the moves of VMs from this spare pool to the pools that requested them."""
     if not snapshot.policy.spare:
         return []
-    failing = snapshot.find_failing()
+    failing = snapshot.list_failing()
     free = [vm for vm in vms if vm.state == VmState.ACTIVE and vm.name not in failing]
     changes = []
     for request in sorted(snapshot.requests, key=attrgetter('given', 'pool')):
@@ -78,9 +78,9 @@
     No VM is returned while VMs are due for maintenance, because a blocked wave would request it
     again. A borrowed VM stays for at least `spare_hold_s`, so that it does not move back and forth.
     """
-    if list_due(snapshot, vms) and snapshot.policy.maintenance_enabled:
+    if list_due_vms(snapshot, vms) and snapshot.policy.maintenance_enabled:
         return []
-    failing = snapshot.find_failing()
+    failing = snapshot.list_failing()
     returning: list[PoolVm] = []
     for vm in vms:
         held_s = snapshot.now_s - vm.pool_since_s
@@ -94,13 +94,15 @@
 
 
 def _choose_spare_pool(
-    snapshot: PoolSnapshot, asked: dict[str, int], wanted: Mapping[str, int]
+    snapshot: PoolSnapshot, requested_counts: dict[str, int], wanted: Mapping[str, int]
 ) -> str | None:
     """Return the spare pool to request VMs from.
 
     This is one with a request still open, otherwise the one with the most free VMs.
     """
-    pending = sorted(pool for pool, count in asked.items() if count > wanted.get(pool, 0))
+    pending = sorted(
+        pool for pool, count in requested_counts.items() if count > wanted.get(pool, 0)
+    )
     if pending and snapshot.free_spares.get(pending[0], 0):
         return pending[0]
     free = sorted((-count, pool) for pool, count in snapshot.free_spares.items() if count)
@@ -113,4 +115,4 @@
     health = snapshot.health.get(vm.name)
     if vm.state != VmState.SUSPECT or health is None:
         return False
-    return not health.works and health.for_s >= snapshot.policy.suspect_s
+    return not health.works and health.unchanged_s >= snapshot.policy.suspect_s
--- a/comfreywind/decisions/pools/wave.py
+++ b/comfreywind/decisions/pools/wave.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
-from comfreywind.decisions.pools.budget import compute_budget, find_domain
+from comfreywind.decisions.pools.budget import compute_budget, get_failure_domain
 from comfreywind.decisions.pools.pool_policy import PoolPolicy
 from comfreywind.decisions.pools.pool_snapshot import PoolSnapshot
 from comfreywind.decisions.pools.pool_vm import PoolVm, VmState
@@ -41,9 +41,9 @@
     return now_s - vm.last_maintained_s >= start_after_s
 
 
-def list_due(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> list[PoolVm]:
+def list_due_vms(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> list[PoolVm]:
     """Return the active, working VMs that are due, the one maintained longest ago first."""
-    failing = snapshot.find_failing()
+    failing = snapshot.list_failing()
     due = [
         vm
         for vm in vms
@@ -55,14 +55,14 @@
     return sorted(due, key=lambda vm: (vm.last_maintained_s, vm.name))
 
 
-def find_wave_domain(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> str | None:
+def choose_wave_domain(snapshot: PoolSnapshot, vms: Collection[PoolVm]) -> str | None:
     """Return the failure domain of the stops under way, otherwise that of the first VM due."""
     policy = snapshot.policy
-    stopping = sorted(find_domain(vm, policy) for vm in vms if vm.stopping)
+    stopping = sorted(get_failure_domain(vm, policy) for vm in vms if vm.stopping)
     if stopping:
         return stopping[0]
-    due = list_due(snapshot, vms)
-    return find_domain(due[0], policy) if due else None
+    due = list_due_vms(snapshot, vms)
+    return get_failure_domain(due[0], policy) if due else None
 
 
 def choose_stops(snapshot: PoolSnapshot, vms: tuple[PoolVm, ...]) -> list[PoolVm]:
@@ -71,11 +71,11 @@
     The budget is computed anew for each stop, because a stop in the largest failure domain also
     lowers the number of VMs whose loss must be tolerated.
     """
-    domain = find_wave_domain(snapshot, vms)
-    failing = snapshot.find_failing()
+    domain = choose_wave_domain(snapshot, vms)
+    failing = snapshot.list_failing()
     chosen: list[PoolVm] = []
-    for vm in list_due(snapshot, vms):
-        if find_domain(vm, snapshot.policy) != domain:
+    for vm in list_due_vms(snapshot, vms):
+        if get_failure_domain(vm, snapshot.policy) != domain:
             continue
         unavailable = failing | {other.name for other in chosen} | {vm.name}
         if compute_budget(vms, unavailable, snapshot.policy).margin < 0:
@@ -89,9 +89,9 @@
     policy = snapshot.policy
     if not policy.maintenance_enabled:
         return Wave(WaveState.OFF, 'maintenance is disabled in the bundle')
-    due_count = len(list_due(snapshot, vms))
-    domain = find_wave_domain(snapshot, vms)
-    budget = compute_budget(vms, snapshot.find_failing(), policy)
+    due_count = len(list_due_vms(snapshot, vms))
+    domain = choose_wave_domain(snapshot, vms)
+    budget = compute_budget(vms, snapshot.list_failing(), policy)
     if budget.margin < 0 and domain is not None:
         return Wave(
             WaveState.PAUSED, 'the pool has less than its budget requires', domain, due_count
--- a/comfreywind/decisions/service_time.py
+++ b/comfreywind/decisions/service_time.py
@@ -46,14 +46,14 @@
     return service.mean_s * waiting_ahead / slots if slots > 0 else math.inf
 
 
-def can_meet_deadline(service: ServiceTime, wait_s: float, left_s: float) -> bool:
+def is_expected_to_meet_deadline(service: ServiceTime, wait_s: float, left_s: float) -> bool:
     """Return whether a request that starts after `wait_s` is expected to end within `left_s`."""
     if not service.trusted:
         return wait_s <= left_s
     return wait_s * WAIT_MARGIN + service.mean_s + service.deviation_s <= left_s
 
 
-def may_meet_deadline(service: ServiceTime, left_s: float) -> bool:
+def could_meet_deadline(service: ServiceTime, left_s: float) -> bool:
     """Return whether a request that starts now can end within `left_s` if its run is a short one.
 
     This weaker condition is for a request with no other waiting behind it: if it were refused, the
--- a/comfreywind/entry/dispatcher.py
+++ b/comfreywind/entry/dispatcher.py
@@ -12,9 +12,9 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.refusal import Refusal, RefusalReason
 from comfreywind.decisions.service_time import (
-    can_meet_deadline,
+    could_meet_deadline,
     estimate_wait_s,
-    may_meet_deadline,
+    is_expected_to_meet_deadline,
 )
 from comfreywind.entry.dispatch_policy import DispatchPolicy, SharesPolicy
 from comfreywind.entry.fleet_view import FleetView
@@ -225,9 +225,9 @@
         ahead = len(team.urgent) if ticket.queue.urgent else team.waiting
         wait_s = estimate_wait_s(service, ahead, max(team.quota, team.running))
         left_s = ticket.deadline_s - now_s
-        if can_meet_deadline(service, wait_s, left_s):
+        if is_expected_to_meet_deadline(service, wait_s, left_s):
             return None
-        if not ahead and may_meet_deadline(service, left_s):
+        if not ahead and could_meet_deadline(service, left_s):
             return None
         return Refusal(
             RefusalReason.DEADLINE_IN_QUEUE,
@@ -280,8 +280,8 @@
             return left_s <= 0
         service = team.read_service(now_s)
         if team.waiting > 1:
-            return not can_meet_deadline(service, 0, left_s)
-        return not may_meet_deadline(service, left_s)
+            return not is_expected_to_meet_deadline(service, 0, left_s)
+        return not could_meet_deadline(service, left_s)
 
     def _refuse_late(self, pool: PoolQueue, waiter: Waiter) -> StartResult:
         self._end_waiting(pool, waiter, _refuse_waiting(pool))
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -34,7 +34,7 @@
     ('until the turn is over', UnitDemand(1, 10), UnitDemand(0, 10), 9, True, 1),
     ('nothing held, nothing given', UnitDemand(0, 5), UnitDemand(0, 10), 9, True, 0),
 )
-TAKE_CASES = ((1, 1), (2, 2), (9, 2))
+ALLOCATION_CASES = ((1, 1), (2, 2), (9, 2))
 
 
 @pytest.mark.parametrize(
@@ -47,7 +47,7 @@
     assert decide_transfer(own, asking, wanted, turn_over) == transfer, case
 
 
-@pytest.mark.parametrize(('wanted', 'taken'), TAKE_CASES)
+@pytest.mark.parametrize(('wanted', 'taken'), ALLOCATION_CASES)
 def test_takes_half_of_the_free_units(wanted: int, taken: int) -> None:
     """The first entry must not get all free units, and none must get more than it wants."""
     row = allocate_free_units(ROW, 'c@1', wanted)
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -13,19 +13,19 @@
     WAIT_MARGIN,
     ServiceTime,
     add_sample,
-    can_meet_deadline,
+    could_meet_deadline,
     estimate_wait_s,
-    may_meet_deadline,
+    is_expected_to_meet_deadline,
 )
 from comfreywind.decisions.slot_allocation import allocate_slots
-from comfreywind.decisions.slot_rounding import make_offset, round_to_slots
+from comfreywind.decisions.slot_rounding import compute_rounding_offset, round_to_slots
 from comfreywind.decisions.start_order import advance_virtual_time, choose_team
 from comfreywind.decisions.target_choice import choose_target
 from comfreywind.decisions.team_load import TeamLoad
 from comfreywind.decisions.urgent_reserve import (
-    HIGHEST_RESERVE_RATIO,
-    TURNOVER_PART,
-    URGENT_START_S,
+    MAX_RESERVE_RATIO,
+    MAX_URGENT_WAIT_S,
+    TURNOVER_RATIO,
     count_reserved_slots,
 )
 from comfreywind.entry.team_queue import TeamQueue
@@ -82,7 +82,7 @@
     second: int,
 ) -> None:
     """The entries together must not plan more than the pool or a ceiling, nor leave slots idle."""
-    offset = make_offset(second)
+    offset = compute_rounding_offset(second)
     plans = {
         entry: allocate_slots(entry, all_loads, team_rules, capacity, offset) for entry in all_loads
     }
@@ -104,7 +104,7 @@
 def test_rounding_is_fair_over_time(quotas: dict[str, float]) -> None:
     """An entry's fraction of a slot must not always be rounded down."""
     steps = 500
-    rounded = [round_to_slots(quotas, make_offset(second)) for second in range(steps)]
+    rounded = [round_to_slots(quotas, compute_rounding_offset(second)) for second in range(steps)]
     for name, quota in quotas.items():
         mean = sum(slots[name] for slots in rounded) / steps
         assert abs(mean - quota) < 0.03
@@ -143,15 +143,15 @@
         peers_below_quota=st.booleans(),
     )
 )
-def test_room(room: PoolCapacity) -> None:
+def test_capacity_rule(pool: PoolCapacity) -> None:
     """An entry must not use slots of peers or of urgent work, nor wait while it may use one."""
-    rule = decide_capacity_rule(room, urgent=False)
-    assert decide_capacity_rule(room, urgent=True) is CapacityRule.ANY
-    if room.urgent_ready_at_peers >= max(1, room.free_slots):
+    rule = decide_capacity_rule(pool, urgent=False)
+    assert decide_capacity_rule(pool, urgent=True) is CapacityRule.ANY
+    if pool.urgent_ready_at_peers >= max(1, pool.free_slots):
         assert rule is CapacityRule.NONE
-    elif room.running < room.quota_slots:
+    elif pool.running < pool.quota_slots:
         assert rule is CapacityRule.ANY
-    elif room.peers_below_quota or room.free_slots <= room.reserved_slots:
+    elif pool.peers_below_quota or pool.free_slots <= pool.reserved_slots:
         assert rule is CapacityRule.NONE
     else:
         assert rule is CapacityRule.KNOWN_FREE_CAPACITY
@@ -162,11 +162,11 @@
 def test_urgent_reserve(slots: int, mean_run_s: float) -> None:
     """Slots must be reserved if turnover is too slow, but not more than the highest ratio."""
     reserved = count_reserved_slots(slots, mean_run_s)
-    assert 0 <= reserved <= max(1, slots * HIGHEST_RESERVE_RATIO)
-    if mean_run_s <= URGENT_START_S * TURNOVER_PART:
+    assert 0 <= reserved <= max(1, slots * MAX_RESERVE_RATIO)
+    if mean_run_s <= MAX_URGENT_WAIT_S * TURNOVER_RATIO:
         assert reserved == 0
     elif slots:
-        assert reserved >= min(2, max(1, int(slots * HIGHEST_RESERVE_RATIO)))
+        assert reserved >= min(2, max(1, int(slots * MAX_RESERVE_RATIO)))
     assert count_reserved_slots(slots, mean_run_s * 2) >= reserved
 
 
@@ -175,7 +175,7 @@
 def test_estimates(runs_s: list[float], ahead: int) -> None:
     """No request is refused without enough samples, and estimates stay in the measured range."""
     service = ServiceTime()
-    assert can_meet_deadline(service, 0, 0.001)
+    assert is_expected_to_meet_deadline(service, 0, 0.001)
     for run_s in runs_s:
         service = add_sample(service, run_s)
     assert min(runs_s) - TOLERANCE <= service.mean_s <= max(runs_s) + TOLERANCE
@@ -185,10 +185,10 @@
         return
     assert math.isclose(wait_s, service.mean_s * ahead / 4)
     longest_s = wait_s * WAIT_MARGIN + service.mean_s + service.deviation_s
-    assert can_meet_deadline(service, wait_s, longest_s + TOLERANCE)
-    assert not can_meet_deadline(service, wait_s, longest_s - 2 * TOLERANCE)
-    assert may_meet_deadline(service, service.mean_s)
-    assert not may_meet_deadline(service, service.mean_s - 2 * service.deviation_s - TOLERANCE)
+    assert is_expected_to_meet_deadline(service, wait_s, longest_s + TOLERANCE)
+    assert not is_expected_to_meet_deadline(service, wait_s, longest_s - 2 * TOLERANCE)
+    assert could_meet_deadline(service, service.mean_s)
+    assert not could_meet_deadline(service, service.mean_s - 2 * service.deviation_s - TOLERANCE)
 
 
 @STEADY
