--- a/comfreywind/scheduling/demand_watch.py
+++ b/comfreywind/scheduling/demand_watch.py
@@ -35,8 +35,8 @@
         works_by_pool: dict[str, list[PastWork]] = {}
         for record in self._board.jobs.values():
             if record.job.accepted_ms >= from_ms:
-                works = works_by_pool.setdefault(self._board.find_pool(record), [])
-                works.extend(list_past_work(record.job))
+                pool_works = works_by_pool.setdefault(self._board.find_pool(record), [])
+                pool_works.extend(list_past_work(record.job))
         sizes = self._compute_vm_sizes(group_by_pool(self._board), works_by_pool)
         for pool, works in works_by_pool.items():
             size = sizes[pool]
--- a/tests/scheduling/test_burst.py
+++ b/tests/scheduling/test_burst.py
@@ -1,18 +1,18 @@
-"""Surges of demand: recognised, remembered, forgotten."""
+"""Bursts of demand: recognised, remembered, forgotten."""
 
 import pytest
 
 from comfreywind.decisions.scheduling.burst import BurstMemory
 
-# Loads in VMs at steps of half a second: a surge to 20, then quiet for two seconds.
-SURGE = [2, 6, 12, 20, 18, 8, 1, 0, 0, 0, 0]
-STEP_S = 0.5
+# Loads in VMs at intervals of half a second: a burst to 20, then quiet for two seconds.
+BURST = [2, 6, 12, 20, 18, 8, 1, 0, 0, 0, 0]
+INTERVAL_S = 0.5
 
 
-def follow(memory: BurstMemory, loads: list[float], start_s: float = 0) -> list[float]:
-    """Return what is expected after each of the loads."""
+def record_loads(memory: BurstMemory, loads: list[float], start_s: float = 0) -> list[float]:
+    """Return the load to expect after each of the loads."""
     return [
-        memory.record_load(load_vms, start_s + number * STEP_S)
+        memory.record_load(load_vms, start_s + number * INTERVAL_S)
         for number, load_vms in enumerate(loads)
     ]
 
@@ -28,16 +28,16 @@
     ],
     ids=['to the peak at once', 'no longer than the rise', 'too small', 'long ago', 'off'],
 )
-def test_second_surge(
+def test_second_burst(
     memory_s: float, second_start_s: float, second: list[float], expected: list[float]
 ) -> None:
-    """Guards against a pool that learns nothing from the turn before, or never forgets it."""
+    """A second burst is expected to reach the peak of the first one, unless that was long ago."""
     memory = BurstMemory(memory_s)
-    assert not any(follow(memory, SURGE))
-    assert follow(memory, second, second_start_s) == expected
+    assert not any(record_loads(memory, BURST))
+    assert record_loads(memory, second, second_start_s) == expected
 
 
 def test_steady_load() -> None:
-    """Guards against a steady load that counts as one surge after another."""
+    """A steady load doesn't count as one burst after another."""
     memory = BurstMemory(60)
-    assert not any(follow(memory, [10, 11, 9, 12] * 40))
+    assert not any(record_loads(memory, [10, 11, 9, 12] * 40))
--- a/tests/scheduling/test_bursts_across_holders.py
+++ b/tests/scheduling/test_bursts_across_holders.py
@@ -1,4 +1,4 @@
-"""Turns of demand that one holder has seen, and the next one meets again."""
+"""Bursts of demand that recur after a change of the holder."""
 
 import pytest
 
@@ -15,14 +15,14 @@
 
 POOLS = (Pool(POOL), Pool('standby', standby=True))
 TASK = Resources(1000, 100)
-# A pool of 4 VMs of 4 cores; the turn before took 32 cores, 8 VMs.
-TURN_TASKS = 32
+# A pool of 4 VMs of 4 cores; the previous burst took 32 cores, 8 VMs.
+BURST_TASKS = 32
 POLICY = PoolPolicy(base_part=0, spare_vms=0, smallest_pool=1, target_fill=1, growth_limit=1)
 NOW_MS = 1_000_000
 
 
 def make_vms() -> dict[str, Vm]:
-    """Return the VMs of the pool and as many as it may need in standby."""
+    """Return the VMs of the pool, and as many in standby as it may need."""
     size = Resources(4000, 10_000)
     own = {f'vm{n}': Vm(f'vm{n}', POOL, True, 'dc', frozenset(), size, f't{n}') for n in range(4)}
     return own | {
@@ -31,51 +31,53 @@
     }
 
 
-def add_ended_turn(rig: BoardRig, ago_ms: int) -> None:
-    """Add the jobs of a turn that an earlier holder has carried out."""
-    for number in range(TURN_TASKS):
+def add_ended_burst(harness: BoardRig, ago_ms: int) -> None:
+    """Add the jobs of a burst that ended under an earlier holder."""
+    for number in range(BURST_TASKS):
         job = make_job(
             Step(1, TASK, estimate_ms=1000),
             job_id=f'{number:016x}',
             accepted_ms=NOW_MS - ago_ms,
         )
-        rig.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, settled=True)
+        harness.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, settled=True)
 
 
 @pytest.mark.parametrize(
     ('ago_ms', 'moves'),
     [
-        pytest.param(20_000, 4, id='known turn'),
-        pytest.param(90_000, 0, id='forgotten turn'),
+        pytest.param(20_000, 4, id='known burst'),
+        pytest.param(90_000, 0, id='forgotten burst'),
     ],
 )
-def test_next_turn_after_change_of_holder(ago_ms: int, moves: int) -> None:
-    """Guards against a pool that grows only step by step in the turn after a change of the holder."""
-    rig = BoardRig(targets=4)
-    add_ended_turn(rig, ago_ms)
-    sizer = PoolSizer(rig.board, POLICY)
-    sizer.replay_past_load(rig.now_s, NOW_MS)
-    sizer.choose(POOLS, make_vms(), rig.now_s)
-    rig.now_s += 1
+def test_next_burst_after_change_of_holder(ago_ms: int, moves: int) -> None:
+    """After a change of the holder, a pool still grows to the peak of the last burst at once."""
+    harness = BoardRig(targets=4)
+    add_ended_burst(harness, ago_ms)
+    sizer = PoolSizer(harness.board, POLICY)
+    sizer.replay_past_load(harness.now_s, NOW_MS)
+    sizer.choose(POOLS, make_vms(), harness.now_s)
+    harness.now_s += 1
     for number in range(8):
-        rig.add_job(make_job(Step(1, TASK), job_id=f'f{number:015x}'))
-    rig.start()
-    into_pool = [move for move in sizer.choose(POOLS, make_vms(), rig.now_s) if move.pool == POOL]
+        harness.add_job(make_job(Step(1, TASK), job_id=f'f{number:015x}'))
+    harness.start()
+    into_pool = [
+        move for move in sizer.choose(POOLS, make_vms(), harness.now_s) if move.pool == POOL
+    ]
     assert len(into_pool) == moves
 
 
-def test_turn_under_way_at_change_of_holder() -> None:
-    """Guards against the end of a turn that is taken for the begin of another one."""
-    rig = BoardRig(targets=4)
-    add_ended_turn(rig, 100)
-    sizer = PoolSizer(rig.board, POLICY)
-    sizer.replay_past_load(rig.now_s, NOW_MS)
-    moves = sizer.choose(POOLS, make_vms(), rig.now_s)
+def test_burst_in_progress_at_change_of_holder() -> None:
+    """The end of a burst isn't mistaken for the start of another one."""
+    harness = BoardRig(targets=4)
+    add_ended_burst(harness, 100)
+    sizer = PoolSizer(harness.board, POLICY)
+    sizer.replay_past_load(harness.now_s, NOW_MS)
+    moves = sizer.choose(POOLS, make_vms(), harness.now_s)
     assert [move for move in moves if move.pool == POOL] == []
 
 
 def test_steps_follow_each_other() -> None:
-    """Guards against a load that counts the steps of a job at once."""
+    """The steps of a job count one after another, not all at once."""
     job = make_job(
         Step(2, TASK, estimate_ms=400),
         Step(4, TASK, estimate_ms=200, after=(0,)),
@@ -95,7 +97,7 @@
 @pytest.mark.parametrize(
     'fields', [{'occurrence_count': 3, 'interval_ms': 100}, {'lasting': True}], ids=str
 )
-def test_other_jobs_are_no_turn(fields: dict[str, int]) -> None:
-    """Guards against timed and lasting work that is taken for a turn."""
+def test_other_jobs_are_no_burst(fields: dict[str, int]) -> None:
+    """Timed and long-running jobs don't count as a burst."""
     lasting = bool(fields.pop('lasting', False))
     assert list_past_work(make_job(Step(1, TASK, lasting=lasting), **fields)) == []
--- a/tests/scheduling/test_demand_trend.py
+++ b/tests/scheduling/test_demand_trend.py
@@ -1,4 +1,4 @@
-"""A demand that rises over some seconds, faster than VMs move: the first turn of a queue."""
+"""Forecast of a demand that rises faster than VMs move, as in the first burst of a queue."""
 
 import random
 
@@ -16,19 +16,19 @@
 LEAD_S = 1.7
 
 
-def note_steps(trend: DemandTrend, work_vm_s: list[float], jobs: int = 20) -> None:
-    """Hand in so much work in each interval, dealt over some jobs."""
+def add_samples(trend: DemandTrend, work_vm_s: list[float], jobs: int = 20) -> None:
+    """Add a sample for each interval, with its work divided evenly among the jobs."""
     for number, work in enumerate(work_vm_s):
         trend.add_sample(number * INTERVAL_S, [work / jobs] * jobs)
 
 
-def test_ramp_is_foreseen() -> None:
-    """Guards against VMs that are ordered for the present load and come for twice as much.
+def test_ramp_is_forecast() -> None:
+    """A rising demand is forecast for the time when VMs ordered now take work.
 
-    A turn that rises by 10 VMs a second stands at 20 VMs after 2 s, and at 37 when the VMs come.
+    A burst that rises by 10 VMs per second is at 20 VMs after 2 s, and at 37 when the VMs arrive.
     """
     trend = DemandTrend()
-    note_steps(trend, [10 * number * INTERVAL_S**2 for number in range(11)])
+    add_samples(trend, [10 * number * INTERVAL_S**2 for number in range(11)])
     assert 29 < trend.forecast_vms(LEAD_S) < 40
 
 
@@ -41,14 +41,14 @@
     ],
 )
 def test_no_rise(work_vm_s: list[float]) -> None:
-    """Guards against VMs for a demand that stays or falls."""
+    """No load is forecast for a demand that is steady or falls."""
     trend = DemandTrend()
-    note_steps(trend, work_vm_s)
+    add_samples(trend, work_vm_s)
     assert trend.forecast_vms(LEAD_S) == 0
 
 
 def test_one_large_job_is_no_rise() -> None:
-    """Guards against a pool that is sized for a demand of which one job is all there is."""
+    """A single large job isn't a rise of the demand."""
     trend = DemandTrend()
     for number in range(9):
         trend.add_sample(number * INTERVAL_S, [50] if number == 8 else [])
@@ -56,7 +56,7 @@
 
 
 def test_chance_is_rarely_a_rise() -> None:
-    """Guards against VMs that move whenever a steady demand varies by chance."""
+    """Random variation of a steady demand rarely counts as a rise, for which VMs would move."""
     generator = random.Random(17)
     trend = DemandTrend()
     forecasts_vms = []
@@ -67,31 +67,31 @@
     assert sum(vms > 0 for vms in forecasts_vms) / len(forecasts_vms) < 0.03
 
 
-@pytest.mark.parametrize('removed_each_look', [0, 30])
+@pytest.mark.parametrize('removed_per_sample', [0, 30])
 @pytest.mark.parametrize(('growth_limit', 'least_vms', 'most_vms'), [(3, 15, 23), (1.2, 12, 12)])
 def test_pool_grows_ahead_of_the_ramp(
-    growth_limit: float, least_vms: float, most_vms: float, removed_each_look: int
+    growth_limit: float, least_vms: float, most_vms: float, removed_per_sample: int
 ) -> None:
-    """Guards against a first turn whose jobs wait for VMs all through its rise.
+    """A pool grows ahead of a first burst, whose jobs would wait for VMs all through its rise.
 
-    Seen on the recorded days of prevoz-plan-large and villacres-quito-grown: turns rise for 2 to 3 s and a
-    move takes 1.7 s, so half of the jobs of the first seconds were late.
+    Seen on the recorded days of prevoz-plan-large and villacres-quito-grown: bursts rise for 2 to
+    3 s and a move takes 1.7 s, so half of the jobs of the first seconds were late.
     """
-    rig = BoardRig(targets=4)
-    old = [f'ff{number:014x}' for number in range(10 * removed_each_look)]
+    harness = BoardRig(targets=4)
+    old = [f'ff{number:014x}' for number in range(10 * removed_per_sample)]
     for job_id in old:
-        rig.add_job(make_job(job_id=job_id))
-        rig.board.cancel_job(job_id)
-    watch = DemandWatch(rig.board, PoolPolicy(growth_limit=growth_limit))
-    for look in range(10):
-        # Five more jobs a second in each second, each of which fills a quarter of a VM for a second.
-        for number in range(look + 1):
-            job = make_job(Step(1, Resources(1000, 100)), job_id=f'{look:08x}{number:08x}')
-            rig.add_job(job)
-        for job_id in old[look * removed_each_look :][:removed_each_look]:
-            rig.board.drop_job(job_id)
-        watch.record_new_jobs(group_by_pool(rig.board), look * INTERVAL_S)
+        harness.add_job(make_job(job_id=job_id))
+        harness.board.cancel_job(job_id)
+    watch = DemandWatch(harness.board, PoolPolicy(growth_limit=growth_limit))
+    for sample in range(10):
+        # One more job in each sample than in the one before; a job fills a quarter of a VM for 1 s.
+        for number in range(sample + 1):
+            job = make_job(Step(1, Resources(1000, 100)), job_id=f'{sample:08x}{number:08x}')
+            harness.add_job(job)
+        for job_id in old[sample * removed_per_sample :][:removed_per_sample]:
+            harness.board.drop_job(job_id)
+        watch.record_new_jobs(group_by_pool(harness.board), sample * INTERVAL_S)
     load_vms = sum(range(6, 11)) / 4
     expected_vms = watch.forecast_load_vms(POOL, load_vms, 9 * INTERVAL_S, LEAD_S)
-    # The load is 10 VMs and will be 23 when VMs that are ordered now take work.
+    # The load is 10 VMs and will be 23 when VMs ordered now take work.
     assert least_vms <= expected_vms <= most_vms
--- a/tests/scheduling/test_order_reservations.py
+++ b/tests/scheduling/test_order_reservations.py
@@ -1,4 +1,4 @@
-"""Orders of two holders for one VM are kept apart, and other VMs don't wait."""
+"""Reservations keep the orders of two holders for one VM apart, and no other VM waits."""
 
 from collections.abc import Sequence
 from typing import cast
@@ -14,29 +14,32 @@
 from comfreywind.scheduling.term_keeper import HeldTerm
 from tests.helpers.manual_clock import ManualClock
 
-TURN_S = 3.0
+RESERVATION_S = 3.0
 STORE_AHEAD_MS = 5_000_000
 MS_PER_S = 1000
-# The last moment at which an announced order may be sent, and its way to the service.
-SEND_S = 0.6
-ARRIVAL_S = 0.4
+# Length of the send window of a reservation, and the maximum time of an order to the service.
+SEND_WINDOW_S = 0.6
+ARRIVAL_MARGIN_S = 0.4
 
 
 class OneRow:
-    """A store with one row; `away` lets its calls fail, `commit_s` is what a commit takes."""
+    """A store with one row.
+
+    Commits fail while it is `unavailable`, and take `commit_s` otherwise.
+    """
 
     def __init__(self, clock: ManualClock) -> None:
-        """Start without the row; the store's clock is the other one and a bit."""
+        """Start without the row; the store's clock is ahead of the other one."""
         self._clock = clock
         self.commit_s: float = 0
         self.payload: bytes | None = None
         self.version = 0
         self.writes = 0
-        self.away = False
+        self.unavailable = False
 
     @property
     def store_time(self) -> StoreTime:
-        """Return a reading of the store's clock that took 10 ms."""
+        """Return a reading of the store's clock by a call that took 10 ms."""
         now_s = self._clock.read_monotonic_s()
         return StoreTime(STORE_AHEAD_MS + now_s * MS_PER_S, now_s - 0.01, now_s)
 
@@ -47,7 +50,7 @@
     async def commit(self, part: str, changes: Sequence[RowChange]) -> int:
         """Write the row when its version is the expected one."""
         self._clock.advance(self.commit_s)
-        if self.away:
+        if self.unavailable:
             raise StoreUnavailableError('away')
         change = changes[0]
         if change.expected_version != self.version:
@@ -58,8 +61,8 @@
         return self.version
 
 
-class Rig:
-    """Holders one after another over one row."""
+class Harness:
+    """A sequence of holders that use one row."""
 
     def __init__(self) -> None:
         """Start at time 0 without any holder."""
@@ -68,155 +71,156 @@
         self._epoch = 0
 
     async def take_term(self) -> OrderReservations:
-        """Return the turns of the next holder."""
+        """Return the reservations of the next holder."""
         self._epoch += 1
         term = HeldTerm(self._epoch, 1, self.clock.read_monotonic_s())
-        turns = OrderReservations(cast('RowsClient', self.row), term, TURN_S, self.clock)
-        await turns.load()
-        return turns
+        reservations = OrderReservations(
+            cast('RowsClient', self.row), term, RESERVATION_S, self.clock
+        )
+        await reservations.load()
+        return reservations
 
 
 async def test_successor() -> None:
-    """Guards against two holders that order one VM, and against a successor that orders none.
+    """A successor orders no VM that its predecessor has reserved, and all others at once.
 
-    Before, a successor left all VMs alone for the turn: in a rolling restart with 2 s for each node
-    no VM moved for 20 s.
+    If it waited for all VMs, none would move for 20 s in a rolling restart with 2 s for each node.
     """
-    rig = Rig()
-    first = await rig.take_term()
+    harness = Harness()
+    first = await harness.take_term()
     assert first.may_reserve('a')
     assert await first.reserve(['a'])
-    second = await rig.take_term()
+    second = await harness.take_term()
     assert not second.may_reserve('a')
     assert second.may_reserve('b')
-    rig.clock.advance(TURN_S + ARRIVAL_S + 0.01)
+    harness.clock.advance(RESERVATION_S + ARRIVAL_MARGIN_S + 0.01)
     assert second.may_reserve('a')
 
 
 async def test_quick_changes() -> None:
-    """Guards against a third holder that orders a VM which the first one has just ordered."""
-    rig = Rig()
-    first = await rig.take_term()
+    """A third holder respects the reservations of the first one, which the second one keeps."""
+    harness = Harness()
+    first = await harness.take_term()
     assert await first.reserve(['a'])
-    second = await rig.take_term()
+    second = await harness.take_term()
     assert await second.reserve(['b'])
-    third = await rig.take_term()
+    third = await harness.take_term()
     assert not (third.may_reserve('a') or third.may_reserve('b'))
 
 
 async def test_old_orders() -> None:
-    """Guards against a row that names more and more VMs."""
-    rig = Rig()
-    first = await rig.take_term()
+    """Expired reservations leave the row, which would name more and more VMs otherwise."""
+    harness = Harness()
+    first = await harness.take_term()
     assert await first.reserve(['a'])
-    rig.clock.advance(10)
+    harness.clock.advance(10)
     assert await first.reserve(['b'])
-    second = await rig.take_term()
+    second = await harness.take_term()
     assert second.may_reserve('a')
     assert not second.may_reserve('b')
 
 
 async def test_repeated_order() -> None:
-    """Guards against a write for each repetition of an order."""
-    rig = Rig()
-    first = await rig.take_term()
+    """An order that is repeated within its send window costs no further write."""
+    harness = Harness()
+    first = await harness.take_term()
     assert await first.reserve(['a'])
     assert await first.reserve(['a'])
-    assert rig.row.writes == 1
+    assert harness.row.writes == 1
 
 
 async def test_store_away() -> None:
-    """Guards against an order that a successor would not know of."""
-    rig = Rig()
-    first = await rig.take_term()
-    rig.row.away = True
+    """A VM isn't reserved without the row, because a successor would not know of the order."""
+    harness = Harness()
+    first = await harness.take_term()
+    harness.row.unavailable = True
     assert not await first.reserve(['a'])
-    rig.row.away = False
+    harness.row.unavailable = False
     assert await first.reserve(['a'])
 
 
 async def test_replaced_holder() -> None:
-    """Guards against an earlier holder that goes on after another one has written the row."""
-    rig = Rig()
-    first = await rig.take_term()
-    second = await rig.take_term()
+    """An earlier holder can't reserve VMs after another one has written the row."""
+    harness = Harness()
+    first = await harness.take_term()
+    second = await harness.take_term()
     assert await second.reserve(['a'])
     assert not await first.reserve(['b'])
 
 
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x01'])
 async def test_unreadable_row(garbage: bytes) -> None:
-    """Guards against orders for VMs that an earlier holder may have ordered."""
-    rig = Rig()
-    await rig.take_term()
-    rig.row.payload = garbage
-    second = await rig.take_term()
+    """With an unreadable row any VM may be reserved by an earlier holder, so none is ordered."""
+    harness = Harness()
+    await harness.take_term()
+    harness.row.payload = garbage
+    second = await harness.take_term()
     assert not second.may_reserve('a')
-    rig.clock.advance(TURN_S + ARRIVAL_S + 0.01)
+    harness.clock.advance(RESERVATION_S + ARRIVAL_MARGIN_S + 0.01)
     assert second.may_reserve('a')
 
 
-async def test_turn_counts_from_the_order() -> None:
-    """Guards against pools that can't grow for the whole turn after each change of the holder.
+async def test_reservation_counts_from_the_order() -> None:
+    """A reservation lasts from the order, not from the takeover, so that pools can grow sooner.
 
-    Seen on prevoz-plan-large inc-a037: the standby VMs had been given up in the seconds before, and
-    a successor left them alone for 3 s from its own start, in the first seconds of a turn of demand.
+    Seen on prevoz-plan-large inc-a037: the VMs had moved to standby in the seconds before, and a
+    successor didn't order them for 3 s after its own start, in the first seconds of a burst.
     """
-    rig = Rig()
-    first = await rig.take_term()
+    harness = Harness()
+    first = await harness.take_term()
     assert await first.reserve(['a'])
-    rig.clock.advance(2.5)
-    second = await rig.take_term()
-    rig.clock.advance(SEND_S + TURN_S - 2.5)
+    harness.clock.advance(2.5)
+    second = await harness.take_term()
+    harness.clock.advance(SEND_WINDOW_S + RESERVATION_S - 2.5)
     assert not second.may_reserve('a')
-    rig.clock.advance(ARRIVAL_S + 0.1)
+    harness.clock.advance(ARRIVAL_MARGIN_S + 0.1)
     assert second.may_reserve('a')
 
 
 async def test_paused_after_announcement() -> None:
-    """Guards against an order sent so late that a successor has ordered the VM before."""
-    rig = Rig()
-    turns = await rig.take_term()
-    assert await turns.reserve(['a'])
-    assert turns.may_send('a')
-    assert not turns.may_send('b')
-    rig.clock.advance(SEND_S + 0.1)
-    assert not turns.may_send('a')
-    assert await turns.reserve(['a'])
-    assert turns.may_send('a')
-    assert rig.row.writes == 2
+    """A paused holder sends no order after its window, when a successor may have sent one."""
+    harness = Harness()
+    reservations = await harness.take_term()
+    assert await reservations.reserve(['a'])
+    assert reservations.may_send('a')
+    assert not reservations.may_send('b')
+    harness.clock.advance(SEND_WINDOW_S + 0.1)
+    assert not reservations.may_send('a')
+    assert await reservations.reserve(['a'])
+    assert reservations.may_send('a')
+    assert harness.row.writes == 2
 
 
 async def test_slow_store() -> None:
-    """Guards against a store so slow that each announcement is over when it is written."""
-    rig = Rig()
-    rig.row.commit_s = 1.0
-    turns = await rig.take_term()
-    await turns.reserve(['a'])
-    await turns.reserve(['a'])
-    assert turns.may_send('a')
+    """The send window grows on a slow store, where it would be over once the row is written."""
+    harness = Harness()
+    harness.row.commit_s = 1.0
+    reservations = await harness.take_term()
+    await reservations.reserve(['a'])
+    await reservations.reserve(['a'])
+    assert reservations.may_send('a')
 
 
 async def test_row_without_times() -> None:
-    """Guards against a node of the version before whose orders a successor does not respect."""
-    rig = Rig()
-    rig.row.payload = msgpack.packb(['a'])
-    await rig.take_term()
-    turns = await rig.take_term()
-    assert not turns.may_reserve('a')
-    assert turns.may_reserve('b')
-    rig.clock.advance(TURN_S + ARRIVAL_S + 0.01)
-    assert turns.may_reserve('a')
+    """The row of a node of the previous version, without times, reserves the VMs that it names."""
+    harness = Harness()
+    harness.row.payload = msgpack.packb(['a'])
+    await harness.take_term()
+    reservations = await harness.take_term()
+    assert not reservations.may_reserve('a')
+    assert reservations.may_reserve('b')
+    harness.clock.advance(RESERVATION_S + ARRIVAL_MARGIN_S + 0.01)
+    assert reservations.may_reserve('a')
 
 
 async def test_order_on_its_way_at_release() -> None:
-    """Guards against a VM ordered within the turn of an order that was sent just before a release.
+    """A reservation includes the time of an order that was sent just before a release of the term.
 
     Found by tests/model/test_order_reservations_model.py with seed 785: orders 2.97 s apart.
     """
-    rig = Rig()
-    first = await rig.take_term()
+    harness = Harness()
+    first = await harness.take_term()
     assert await first.reserve(['a'])
-    second = await rig.take_term()
-    rig.clock.advance(TURN_S + ARRIVAL_S - 0.1)
+    second = await harness.take_term()
+    harness.clock.advance(RESERVATION_S + ARRIVAL_MARGIN_S - 0.1)
     assert not second.may_reserve('a')
--- a/tests/scheduling/test_pool_keeper.py
+++ b/tests/scheduling/test_pool_keeper.py
@@ -1,4 +1,4 @@
-"""The holder's task for the sizes of pools, with the parts around it as stubs."""
+"""The holder's task for the size of pools, with stubs of the components that it uses."""
 
 from types import SimpleNamespace
 from typing import Any, cast
@@ -15,8 +15,8 @@
 from tests.helpers.trio_clock import TrioClock
 
 
-class Parts:
-    """What a PoolKeeper uses; the VM leaves the list while its order is announced."""
+class Components:
+    """All components of a PoolKeeper; the VM leaves the list while it is reserved."""
 
     def __init__(self) -> None:
         """List one VM, which is to move."""
@@ -26,14 +26,14 @@
         self.moved: list[str] = []
 
     def replay_past_load(self, *_: Any) -> None:
-        """Know of no earlier turns."""
+        """Learn of no earlier bursts."""
 
     def choose(self, *_: Any) -> list[VmMove]:
-        """Choose the VM."""
+        """Choose to move the VM."""
         return [VmMove('vm0', 'south')]
 
     def has_moves(self) -> bool:
-        """Tell that no move is under way."""
+        """Return that no move is in progress."""
         return False
 
     def start_move(self, *_: Any) -> bool:
@@ -41,11 +41,11 @@
         return True
 
     def get_list_age_s(self, now_s: float) -> float:
-        """Tell that the list is fresh."""
+        """Return the age of a fresh list."""
         return 0
 
     def is_valid(self) -> bool:
-        """Tell that the term is held."""
+        """Return that the term is held."""
         return True
 
     async def reserve(self, vms: list[str]) -> bool:
@@ -54,16 +54,26 @@
         return True
 
     async def move(self, vm: str, *_: Any) -> VmOrderAnswer:
-        """Note the order."""
+        """Record the order."""
         self.moved.append(vm)
         return VmOrderAnswer.DONE
 
 
 async def test_vm_leaves_the_list() -> None:
-    """Guards against a holder that ends because a VM is gone when its order has been announced."""
-    parts = cast('Any', Parts())
+    """The holder doesn't fail when a VM leaves the list while its order is being reserved."""
+    components = cast('Any', Components())
     term = cast('HeldTerm', SimpleNamespace(epoch=1))
-    keeper = PoolKeeper(term, 'node-1', parts, parts, parts, parts, parts, parts, TrioClock())
+    keeper = PoolKeeper(
+        term,
+        'node-1',
+        components,
+        components,
+        components,
+        components,
+        components,
+        components,
+        TrioClock(),
+    )
     with trio.move_on_after(0.5):
         await keeper.run()
-    assert not parts.moved
+    assert not components.moved
--- a/tests/scheduling/test_pool_sizer.py
+++ b/tests/scheduling/test_pool_sizer.py
@@ -1,4 +1,4 @@
-"""Which VMs move between pools, from the board and the list of VMs."""
+"""Which VMs move between pools, from the scheduler state and the list of VMs."""
 
 from dataclasses import replace
 
@@ -23,77 +23,80 @@
 POLICY = PoolPolicy(base_part=0, spare_vms=0, smallest_pool=1, shrink_after_s=1)
 
 
-def choose_later(sizer: PoolSizer, rig: BoardRig) -> list[VmMove]:
-    """Return the moves once the pool has had too many VMs for long enough."""
-    sizer.choose(POOLS, VMS, rig.now_s)
-    rig.now_s += POLICY.shrink_after_s
-    return sizer.choose(POOLS, VMS, rig.now_s)
+def choose_later(sizer: PoolSizer, harness: BoardRig) -> list[VmMove]:
+    """Return the moves once the pool has had a surplus of VMs for long enough."""
+    sizer.choose(POOLS, VMS, harness.now_s)
+    harness.now_s += POLICY.shrink_after_s
+    return sizer.choose(POOLS, VMS, harness.now_s)
 
 
 def test_idle_vms_move() -> None:
-    """Guards against idle VMs that are paid for."""
-    rig = BoardRig(targets=4)
-    assert len(choose_later(PoolSizer(rig.board, POLICY), rig)) == 3
+    """Idle VMs leave the pool, because they cost money."""
+    harness = BoardRig(targets=4)
+    assert len(choose_later(PoolSizer(harness.board, POLICY), harness)) == 3
 
 
 @pytest.mark.parametrize('field', ['reported', 'silent'])
-def test_unheard_targets_stay(field: str) -> None:
-    """Guards against a move that ends tasks which this holder does not know of.
+def test_targets_without_report_stay(field: str) -> None:
+    """A target that hasn't reported to this holder isn't idle: a move could end unknown tasks.
 
-    Seen on prevoz-plan holder-and-store with seed 652107374108 (AVAIL): since a successor orders
-    moves at once, it took targets for idle that had not answered it yet.
+    Seen on prevoz-plan holder-and-store with seed 652107374108 (AVAIL): a successor orders moves at
+    once, and treated targets as idle that had not answered it yet.
     """
-    rig = BoardRig(targets=4)
+    harness = BoardRig(targets=4)
     for target in ('t0', 't1'):
-        setattr(rig.board.targets[target], field, field == 'silent')
-    moved = {move.vm for move in choose_later(PoolSizer(rig.board, POLICY), rig)}
+        setattr(harness.board.targets[target], field, field == 'silent')
+    moved = {move.vm for move in choose_later(PoolSizer(harness.board, POLICY), harness)}
     assert moved.isdisjoint({'vm0', 'vm1'})
 
 
-def test_closed_vms_stay() -> None:
-    """Guards against a move of a VM that an earlier holder may have ordered just before."""
-    rig = BoardRig(targets=4)
-    sizer = PoolSizer(rig.board, POLICY, may_reserve=lambda vm: vm == 'vm3')
-    assert choose_later(sizer, rig) == [VmMove('vm3', 'standby')]
+def test_reserved_vms_stay() -> None:
+    """A VM that an earlier holder may have ordered just before isn't moved."""
+    harness = BoardRig(targets=4)
+    sizer = PoolSizer(harness.board, POLICY, may_reserve=lambda vm: vm == 'vm3')
+    assert choose_later(sizer, harness) == [VmMove('vm3', 'standby')]
 
 
-def test_slow_roster_orders_no_more() -> None:
-    """Guards against VMs that are ordered twice while a slow store takes in those that came."""
-    rig = BoardRig(targets=4)
+def test_slow_registry_orders_no_more() -> None:
+    """VMs that arrived but aren't in the registry yet, as the store is slow, count as usable.
+
+    Otherwise the pool would order further VMs in their place.
+    """
+    harness = BoardRig(targets=4)
     standby = Vm('vm9', 'standby', True, 'dc', frozenset(), Resources(4000, 10_000), 'off')
     for number in range(8):
-        rig.add_job(make_job(Step(2, Resources(1000, 100)), job_id=f'{number:016x}'))
-    rig.start()
-    for record in rig.board.targets.values():
+        harness.add_job(make_job(Step(2, Resources(1000, 100)), job_id=f'{number:016x}'))
+    harness.start()
+    for record in harness.board.targets.values():
         record.rostered = False
-    sizer = PoolSizer(rig.board, replace(POLICY, target_fill=1))
-    assert not sizer.choose(POOLS, {**VMS, 'vm9': standby}, rig.now_s)
+    sizer = PoolSizer(harness.board, replace(POLICY, target_fill=1))
+    assert not sizer.choose(POOLS, {**VMS, 'vm9': standby}, harness.now_s)
 
 
 def test_memory_bound_pool_grows() -> None:
-    """Guards against lasting tasks that wait for memory in a pool whose processors idle.
+    """A pool grows for long-running tasks that wait for memory while its processors are idle.
 
-    Seen on prevoz-plan-large quiet-1, seed 236301455 (LOST): a task of 52 GB waited 9.5 s while each VM
-    of its pool had 48 GB and two thirds of its cores free, and the pool was not enlarged.
+    Seen on prevoz-plan-large quiet-1, seed 236301455 (LOST): a task of 52 GB waited 9.5 s while
+    each VM of its pool had 48 GB and two thirds of its cores free, and the pool was not enlarged.
     """
-    rig = BoardRig(targets=4)
-    rig.add_job(make_job(Step(8, Resources(100, 6_000), lasting=True)))
-    rig.start()
+    harness = BoardRig(targets=4)
+    harness.add_job(make_job(Step(8, Resources(100, 6_000), lasting=True)))
+    harness.start()
     standby = Vm('vm9', 'standby', True, 'dc', frozenset(), Resources(4000, 10_000), 'off')
-    sizer = PoolSizer(rig.board, POLICY)
-    assert sizer.choose(POOLS, {**VMS, 'vm9': standby}, rig.now_s) == [VmMove('vm9', POOL)]
+    sizer = PoolSizer(harness.board, POLICY)
+    assert sizer.choose(POOLS, {**VMS, 'vm9': standby}, harness.now_s) == [VmMove('vm9', POOL)]
 
 
 @pytest.mark.parametrize(('target_limit', 'moves'), [(0, 1), (1, 2)])
-def test_scattered_room(target_limit: int, moves: int) -> None:
-    """Guards against lasting tasks that wait while the free memory of a pool lies in small pieces."""
-    rig = BoardRig(targets=4)
-    rig.add_job(make_job(Step(4, Resources(100, 6_000), lasting=True)))
-    rig.start()
+def test_scattered_capacity(target_limit: int, moves: int) -> None:
+    """A pool grows for long-running tasks when its free memory is in pieces too small for them."""
+    harness = BoardRig(targets=4)
+    harness.add_job(make_job(Step(4, Resources(100, 6_000), lasting=True)))
+    harness.start()
     step = Step(2, Resources(100, 5_000), lasting=True, target_limit=target_limit)
-    rig.add_job(make_job(step, job_id='00000000000000a2'))
-    assert not rig.plan()
+    harness.add_job(make_job(step, job_id='00000000000000a2'))
+    assert not harness.plan()
     off = Vm('', 'standby', True, 'dc', frozenset(), Resources(4000, 10_000), 'off')
     vms = {f'off{number}': replace(off, name=f'off{number}') for number in range(4)}
-    sizer = PoolSizer(rig.board, replace(POLICY, target_fill=1))
-    assert len(sizer.choose(POOLS, {**VMS, **vms}, rig.now_s)) == moves
+    sizer = PoolSizer(harness.board, replace(POLICY, target_fill=1))
+    assert len(sizer.choose(POOLS, {**VMS, **vms}, harness.now_s)) == moves
--- a/tests/scheduling/test_pools_at_size.py
+++ b/tests/scheduling/test_pools_at_size.py
@@ -1,4 +1,4 @@
-"""Work of the keeper of pools on a fleet with many pools, targets and ended jobs."""
+"""Cost of sizing the pools of a fleet with many pools, targets and ended jobs."""
 
 from collections.abc import ValuesView
 
@@ -21,7 +21,7 @@
 
 
 class CountedTargets(dict[str, TargetRecord]):
-    """Targets that count how often all of them are looked at."""
+    """Targets that count the passes over all of them."""
 
     passes = 0
 
@@ -32,39 +32,40 @@
 
 
 def count_passes(pools: int) -> int:
-    """Return how often all targets are looked at to size so many pools once."""
-    rig = BoardRig(targets=4)
-    rig.add_job()
-    rig.start()
-    targets = CountedTargets(rig.board.targets)
-    rig.board.targets = targets
-    sizer = PoolSizer(rig.board, PoolPolicy())
-    sizer.choose([Pool(f'pool-{number}') for number in range(pools)], {}, rig.now_s)
+    """Return the number of passes over all targets to size this number of pools once."""
+    harness = BoardRig(targets=4)
+    harness.add_job()
+    harness.start()
+    targets = CountedTargets(harness.board.targets)
+    harness.board.targets = targets
+    sizer = PoolSizer(harness.board, PoolPolicy())
+    sizer.choose([Pool(f'pool-{number}') for number in range(pools)], {}, harness.now_s)
     return targets.passes
 
 
-def test_targets_are_looked_at_once_for_all_pools() -> None:
-    """Guards against a keeper whose work grows with the pools times the targets.
+def test_one_pass_over_targets_for_all_pools() -> None:
+    """The cost of sizing must not grow with the product of pools and targets.
 
-    With 56 pools, 7,100 targets and 5,000 open jobs a look took 1.2 s, in which the holder did nothing else.
+    With 56 pools, 7,100 targets and 5,000 open jobs it took 1.2 s, during which the holder did
+    nothing else.
     """
     assert count_passes(pools=56) == count_passes(pools=2)
 
 
-def test_old_jobs_are_not_recalled(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a new holder that reconstructs the load of hours, for which it plans nothing."""
-    rig = BoardRig(targets=1)
+def test_old_jobs_are_not_replayed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A new holder doesn't reconstruct the load of hours, which affects none of its decisions."""
+    harness = BoardRig(targets=1)
     for number, accepted_ms in enumerate((NOW_MS - ONE_HOUR_MS, NOW_MS - 1000)):
         job = make_job(
             Step(1, Resources(1000, 100)), job_id=f'{number:016x}', accepted_ms=accepted_ms
         )
-        rig.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, settled=True)
-    recalled: list[int] = []
+        harness.board.add_job(job, Progress(JobState.COMPLETE, {(0, 0, 0)}), 1, settled=True)
+    replayed: list[int] = []
 
-    def note_job(job: past_load.Job) -> list[past_load.PastWork]:
-        recalled.append(job.accepted_ms)
+    def record_job(job: past_load.Job) -> list[past_load.PastWork]:
+        replayed.append(job.accepted_ms)
         return past_load.list_past_work(job)
 
-    monkeypatch.setattr(demand_watch, 'list_past_work', note_job)
-    PoolSizer(rig.board, PoolPolicy()).replay_past_load(rig.now_s, NOW_MS)
-    assert recalled == [NOW_MS - 1000]
+    monkeypatch.setattr(demand_watch, 'list_past_work', record_job)
+    PoolSizer(harness.board, PoolPolicy()).replay_past_load(harness.now_s, NOW_MS)
+    assert replayed == [NOW_MS - 1000]
