--- a/tests/model/handover_model.py
+++ b/tests/model/handover_model.py
@@ -1,9 +1,9 @@
 """Model of a change of the holder: one task, two holders, two targets, the rows of the store.
 
-Time moves in ticks, and each actor may be slow or stand still for any time. A start may be carried
-out late. Ages are cut off where they make no difference any more. The second reading of the progress
-when a holder settles is part of the model but no protection that it needs: an end is stored before it
-is acknowledged, and acknowledged within the term, so the first reading shows it.
+Time passes in ticks, and each actor may be slow or pause for any time. A start may be carried out
+late. Ages are capped where a higher age makes no difference. The model includes the second read of
+the progress when a holder reconciles, but doesn't depend on it for protection: an end is stored
+before it is acknowledged, and acknowledged within the term, so the first read shows it.
 """
 
 import enum
@@ -31,7 +31,7 @@
 
 
 class Removed(enum.Enum):
-    """A protection that is taken out, to see that the check finds the fault."""
+    """A protection that is left out, to check that the model then finds the fault."""
 
     NOTHING = enum.auto()
     TERM_CHECK = enum.auto()
@@ -42,7 +42,7 @@
 
 
 class Row(NamedTuple):
-    """The lease row, its age, and whether the task's end is stored."""
+    """The lease row, its age, and whether the end of the task is stored."""
 
     epoch: int = 1
     age: int = 0
@@ -50,7 +50,11 @@
 
 
 class Holder(NamedTuple):
-    """A holder; `epoch` is 0 without a term, `run` the target with the run that it knows of."""
+    """A holder.
+
+    `epoch` is 0 without a term, `seen` tells which targets have answered, and `run` is the target
+    with the run that the holder knows of.
+    """
 
     epoch: int = 0
     renewed_age: int = OLDEST
@@ -63,7 +67,7 @@
 
 
 class Target(NamedTuple):
-    """A target: its fence, whether the task runs, the ticks left of its lease, and an end `done`."""
+    """A target: its fence, whether the task runs, its lease in ticks, and whether the task ended."""
 
     fence: int = 0
     active: bool = False
@@ -72,7 +76,7 @@
 
 
 class Late(NamedTuple):
-    """A start on its way, with the ticks until it is too late."""
+    """A start order on its way, with the ticks until it expires."""
 
     target: int
     epoch: int
@@ -109,7 +113,7 @@
             ended = target._replace(active=False, ended=True)
             yield f'end on {number}', _with_target(state, number, ended)
     if late is not None:
-        yield 'late start', _carry_out(state, late, removed)
+        yield 'late start', _deliver_start(state, late, removed)
     for number, holder in enumerate(holders):
         for label, changed in _list_holder_moves(state, number, holder, removed):
             yield f'holder {number}: {label}', changed
@@ -124,21 +128,21 @@
         )
         for holder in holders
     )
-    lapsed = tuple(_pass_lease(target, removed) for target in targets)
+    lapsed = tuple(_age_lease(target, removed) for target in targets)
     waiting = late._replace(left=late.left - 1) if late and late.left > 1 else None
     aged_row = row._replace(age=min(row.age + 1, OLDEST))
     return (aged_row, aged, lapsed, waiting, repeated, noted)  # type: ignore[return-value]
 
 
-def _pass_lease(target: Target, removed: Removed) -> Target:
+def _age_lease(target: Target, removed: Removed) -> Target:
     left = max(target.lease - 1, 0)
     if left or removed is Removed.LEASE_END:
         return target._replace(lease=left)
-    # An end that nobody took note of before the lease ended stands for nothing.
+    # An end that no holder acknowledged before the lease ended is void.
     return target._replace(lease=0, active=False, ended=False)
 
 
-def _carry_out(state: State, late: Late, removed: Removed) -> State:
+def _deliver_start(state: State, late: Late, removed: Removed) -> State:
     row, holders, targets, _, repeated, noted = state
     target = targets[late.target]
     left = (row, holders, targets, None, repeated, noted)
@@ -167,9 +171,9 @@
     else:
         renewed = _with_holder(state, number, holder._replace(renewed_age=0))
         yield 'renews', (row._replace(age=0), *renewed[1:])  # type: ignore[misc]
-    yield from _list_looks(state, number, holder, valid, removed)
+    yield from _list_polls(state, number, holder, valid, removed)
     if not holder.settled:
-        yield from _list_settling(state, number, holder, removed)
+        yield from _list_reconciliation(state, number, holder, removed)
     elif valid and not holder.done and holder.run == NO_RUN and state[3] is None:
         for target in TARGETS:
             yield f'starts on {target}', _start(state, number, holder, target)
@@ -180,24 +184,24 @@
 
 def _list_takes(state: State, number: int) -> Iterator[Move]:
     row = state[0]
-    sighting = LeaseObservation(True, False, TERM, row.age, None)
-    if decide_term_action(sighting, holds_term=False) is TermAction.TAKE and row.epoch < 3:
+    observation = LeaseObservation(True, False, TERM, row.age, None)
+    if decide_term_action(observation, holds_term=False) is TermAction.TAKE and row.epoch < 3:
         taken = Holder(epoch=row.epoch + 1, renewed_age=0, done=row.done, stored=row.done)
         changed = _with_holder(state, number, taken)
         yield 'takes the term', (row._replace(epoch=taken.epoch, age=0), *changed[1:])  # type: ignore[misc]
 
 
-def _list_looks(
+def _list_polls(
     state: State, number: int, holder: Holder, valid: bool, removed: Removed
 ) -> Iterator[Move]:
     for index, target in enumerate(state[2]):
         if holder.epoch < target.fence and removed is not Removed.FENCE:
             yield f'is refused by {index}', _with_holder(state, number, Holder())
         else:
-            yield f'looks at {index}', _look(state, number, index, valid, removed)
+            yield f'looks at {index}', _poll(state, number, index, valid, removed)
 
 
-def _look(state: State, number: int, index: int, valid: bool, removed: Removed) -> State:
+def _poll(state: State, number: int, index: int, valid: bool, removed: Removed) -> State:
     holder, target = state[1][number], state[2][index]
     known = removed is Removed.STORE_BEFORE_ACKNOWLEDGING
     seen = tuple(holder.seen[each] or each == index for each in TARGETS)
@@ -207,18 +211,20 @@
         run = index
     elif holder.run == index and state[3] is None:
         run = NO_RUN
-    looked = holder._replace(seen=seen, done=done, run=run)
+    updated = holder._replace(seen=seen, done=done, run=run)
     acknowledges = valid and target.ended and (holder.stored or known)
     held = target._replace(
         fence=max(target.fence, holder.epoch),
         lease=LEASE if valid and target.lease else target.lease,
         ended=target.ended and not acknowledges,
     )
-    changed = _with_target(_with_holder(state, number, looked), index, held)
+    changed = _with_target(_with_holder(state, number, updated), index, held)
     return (*changed[:5], changed[5] or acknowledges)
 
 
-def _list_settling(state: State, number: int, holder: Holder, removed: Removed) -> Iterator[Move]:
+def _list_reconciliation(
+    state: State, number: int, holder: Holder, removed: Removed
+) -> Iterator[Move]:
     unseen = sum(not each for each in holder.seen)
     settles = may_settle(unseen, roster_known=True, waited_s=holder.taken_age, lapse_s=LAPSE)
     if not settles and removed is not Removed.SETTLING:
--- a/tests/model/test_handover_model.py
+++ b/tests/model/test_handover_model.py
@@ -1,4 +1,4 @@
-"""Model check of the change of the holder with the decision functions that production calls."""
+"""Model check of a change of the holder, with the decision functions used in production."""
 
 import pytest
 
@@ -9,17 +9,17 @@
 
 
 def test_safety() -> None:
-    """Guards against a task that runs twice under late orders, frozen holders and lapsed leases."""
+    """A task never runs twice, despite late orders, paused holders and lapsed leases."""
     holding = check_all_states(make_handover_protocol())
     assert set(holding.values()) == {True}
 
 
 def test_liveness() -> None:
-    """Guards against a state from which a task that was accepted is never done."""
+    """From each state an accepted task can still be done."""
     assert check_goal(make_handover_protocol()) is True
 
 
 @pytest.mark.parametrize('removed', PROTECTIONS, ids=lambda removed: removed.name)
 def test_each_protection_is_needed(removed: Removed) -> None:
-    """Guards against a model that can't fail: without any one protection a task runs twice."""
+    """The model finds a task that runs twice when any one protection is missing."""
     assert find_counterexample(make_handover_protocol(removed))
--- a/tests/model/test_order_reservations_model.py
+++ b/tests/model/test_order_reservations_model.py
@@ -1,4 +1,4 @@
-"""Random histories of holders that order VMs one after another, with pauses, delays and lost answers."""
+"""Random histories of successive holders that order VMs, with pauses, delays and lost answers."""
 
 import math
 import random
@@ -19,11 +19,11 @@
 
 SEEDS = 800
 HOLDERS = 5
-TURN_S = 3.0
+RESERVATION_S = 3.0
 VMS = ('a', 'b', 'c')
-# A process may pause between its last look at the clock and the sending, as for the term itself.
-LONGEST_ARRIVAL_S = 0.4
-LOST_ANSWERS_PART = 0.15
+# A process may pause between its last check of the clock and the sending, as for the term itself.
+MAX_ARRIVAL_S = 0.4
+LOST_ANSWERS_RATIO = 0.15
 STORE_AHEAD_MS = 7_000_000
 MS_PER_S = 1000
 
@@ -39,7 +39,7 @@
 
     @property
     def store_time(self) -> StoreTime:
-        """Return a reading of the clock that is some time old; many readings are exact."""
+        """Return a reading of the clock up to 1 s old; many readings are exact."""
         asked_s = self.clock.read_monotonic_s() - self.generator.uniform(0, 1)
         read_s = asked_s + self.generator.choice((0, 0, 0.2))
         answered_s = read_s + self.generator.choice((0, 0, 0.2))
@@ -57,44 +57,48 @@
             raise RowsChangedError((await self.read_row(change.table, part, change.key),))
         self.payload = change.payload
         self.version += 1
-        if self.generator.random() < LOST_ANSWERS_PART:
+        if self.generator.random() < LOST_ANSWERS_RATIO:
             raise StoreUnavailableError('no answer')
         return self.version
 
 
 @dataclass
 class History:
-    """Holders in turn; `arrivals` has VM, term and time of each order at the service."""
+    """Successive holders; `arrivals` has VM, term and time of each order at the service."""
 
     seed: int
     arrivals: list[tuple[str, int, float]] = field(default_factory=list)
 
-    async def play(self) -> None:
-        """Play some terms."""
+    async def run(self) -> None:
+        """Run the terms of all holders."""
         generator = random.Random(self.seed)
         clock = ManualClock()
         store = Store(clock, generator)
         for epoch in range(1, HOLDERS + 1):
             term = HeldTerm(epoch, 1, clock.read_monotonic_s())
-            turns = OrderReservations(cast('RowsClient', store), term, TURN_S, clock)
-            await turns.load()
-            await self._hold(turns, epoch, clock, generator)
+            reservations = OrderReservations(cast('RowsClient', store), term, RESERVATION_S, clock)
+            await reservations.load()
+            await self._run_term(reservations, epoch, clock, generator)
             # A released term is taken at once, another one after the holder has stopped.
             clock.advance(generator.choice((0.02, 0.4, 2.0)))
 
-    async def _hold(
-        self, turns: OrderReservations, epoch: int, clock: ManualClock, generator: random.Random
+    async def _run_term(
+        self,
+        reservations: OrderReservations,
+        epoch: int,
+        clock: ManualClock,
+        generator: random.Random,
     ) -> None:
         end_s = clock.read_monotonic_s() + generator.choice((0.3, 1, 6))
         while clock.read_monotonic_s() < end_s:
             clock.advance(0.05)
-            chosen = [vm for vm in VMS if turns.may_reserve(vm)]
-            if chosen and await turns.reserve(chosen):
-                self._send(turns, epoch, chosen, clock, generator, end_s)
+            chosen = [vm for vm in VMS if reservations.may_reserve(vm)]
+            if chosen and await reservations.reserve(chosen):
+                self._send(reservations, epoch, chosen, clock, generator, end_s)
 
     def _send(
         self,
-        turns: OrderReservations,
+        reservations: OrderReservations,
         epoch: int,
         vms: Collection[str],
         clock: ManualClock,
@@ -104,12 +108,12 @@
         for vm in vms:
             clock.advance(generator.choice((0, 0.01, 0.28, 1.5)))
             now_s = clock.read_monotonic_s()
-            if turns.may_send(vm) and now_s < end_s:
-                arrival_s = now_s + generator.choice((0, LONGEST_ARRIVAL_S))
+            if reservations.may_send(vm) and now_s < end_s:
+                arrival_s = now_s + generator.choice((0, MAX_ARRIVAL_S))
                 self.arrivals.append((vm, epoch, arrival_s))
 
-    def find_shortest_gap_s(self) -> float:
-        """Return the least time between orders of two holders for one VM."""
+    def compute_shortest_gap_s(self) -> float:
+        """Return the shortest time between orders of two holders for one VM."""
         return min(
             (
                 abs(first_s - second_s)
@@ -121,50 +125,50 @@
         )
 
 
-async def find_shortest_gap_s() -> float:
-    """Return the least gap over all seeds."""
+async def compute_shortest_gap_s() -> float:
+    """Return the shortest gap over all seeds."""
     gaps_s = []
     for seed in range(SEEDS):
         history = History(seed)
-        await history.play()
-        gaps_s.append(history.find_shortest_gap_s())
+        await history.run()
+        gaps_s.append(history.compute_shortest_gap_s())
     return min(gaps_s)
 
 
 async def test_orders_keep_their_distance() -> None:
-    """Guards against two holders that take turns at one VM within the users' lease."""
-    assert await find_shortest_gap_s() >= TURN_S
+    """Two holders never order the same VM within the users' lease."""
+    assert await compute_shortest_gap_s() >= RESERVATION_S
 
 
-def _send_always(self: OrderReservations, vm: str) -> bool:
+def _always_send(self: OrderReservations, vm: str) -> bool:
     return True
 
 
-def _open_always(self: OrderReservations, vm: str) -> bool:
+def _always_reserve(self: OrderReservations, vm: str) -> bool:
     return True
 
 
-def _forget_at_once(self: OrderReservations) -> bool:
+def _always_obsolete(self: OrderReservations) -> bool:
     return True
 
 
 @pytest.mark.parametrize(
     ('name', 'broken'),
     [
-        ('may_send', _send_always),
-        ('may_reserve', _open_always),
-        ('_is_earlier_obsolete', _forget_at_once),
+        ('may_send', _always_send),
+        ('may_reserve', _always_reserve),
+        ('_is_earlier_obsolete', _always_obsolete),
     ],
 )
 async def test_protection_taken_out(
     monkeypatch: pytest.MonkeyPatch, name: str, broken: Callable[..., bool]
 ) -> None:
-    """Guards against a model that would not notice a protection which is missing."""
+    """The model finds the fault when one of the protections is missing."""
     monkeypatch.setattr(OrderReservations, name, broken)
-    assert await find_shortest_gap_s() < TURN_S
+    assert await compute_shortest_gap_s() < RESERVATION_S
 
 
 async def test_arrival_margin_taken_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a model in which every order arrives at once."""
+    """The model has orders that take time to arrive, so it finds the fault without the margin."""
     monkeypatch.setattr(order_reservations, 'ARRIVAL_MARGIN_S', 0)
-    assert await find_shortest_gap_s() < TURN_S
+    assert await compute_shortest_gap_s() < RESERVATION_S
--- a/tests/scheduling/test_capacity_index.py
+++ b/tests/scheduling/test_capacity_index.py
@@ -1,7 +1,7 @@
-"""Placement at size: the cost of a start must not grow with the number of targets.
+"""Placement on large fleets: the cost of a start must not grow with the number of targets.
 
-Pattern: an ordered index for best fit in place of a scan of all targets for each task. Seen on
-prevoz-plan-large quiet-1: 108 targets were described anew for each of 470 choices a second.
+An ordered index for best fit replaces a scan of all targets for each task. Seen on
+prevoz-plan-large quiet-1: the scan described 108 targets anew for each of 470 choices per second.
 """
 
 from collections.abc import Iterator
@@ -19,9 +19,9 @@
 from tests.helpers.board_rig import BoardRig, make_job
 
 TARGETS = 272
-LOOKS_PER_START = 2
+RANKINGS_PER_START = 2
 
-ROOMS = st.lists(
+CAPACITIES = st.lists(
     st.builds(
         TargetCapacity,
         st.sampled_from([f't{number}' for number in range(12)]),
@@ -30,7 +30,7 @@
         st.booleans(),
         st.booleans(),
     ),
-    unique_by=lambda room: room.target_id,
+    unique_by=lambda target: target.target_id,
 )
 STEPS = st.builds(
     Step,
@@ -49,31 +49,34 @@
 
 def choose_by_scan(
     step: Step,
-    rooms: list[TargetCapacity],
+    targets: list[TargetCapacity],
     avoided: frozenset[str],
     same_step: dict[str, int],
     allowed: frozenset[str] | None,
 ) -> str | None:
-    """Return the choice of a scan of all targets, which the index must agree with."""
+    """Return the choice of a scan of all targets, which the index must match."""
 
     def list_candidates() -> Iterator[tuple[object, ...]]:
-        for room in rooms:
-            count = same_step.get(room.target_id, 0)
-            labelled = not step.required_label or step.required_label in room.labels
+        for target in targets:
+            count = same_step.get(target.target_id, 0)
+            labelled = not step.required_label or step.required_label in target.labels
             below = not step.target_limit or count < step.target_limit
-            permitted = allowed is None or room.target_id in allowed
+            permitted = allowed is None or target.target_id in allowed
             if not (
-                compute_effective_request(step).fits(room.free) and labelled and below and permitted
+                compute_effective_request(step).fits(target.free)
+                and labelled
+                and below
+                and permitted
             ):
                 continue
             yield (
-                room.target_id in avoided,
-                step.lasting and room.maintenance_due,
+                target.target_id in avoided,
+                step.lasting and target.maintenance_due,
                 count if step.unavailable_limit else 0,
-                step.filler and room.serving,
-                bool(step.preferred_rack) and step.preferred_rack not in room.labels,
-                room.free.cpu_millicores,
-                room.target_id,
+                step.filler and target.serving,
+                bool(step.preferred_rack) and step.preferred_rack not in target.labels,
+                target.free.cpu_millicores,
+                target.target_id,
             )
 
     best = min(list_candidates(), default=None)
@@ -81,47 +84,49 @@
 
 
 @settings(derandomize=True, max_examples=500, deadline=None)
-@given(ROOMS, STEPS, NAMES, COUNTS, st.none() | NAMES)
+@given(CAPACITIES, STEPS, NAMES, COUNTS, st.none() | NAMES)
 def test_same_choice_as_scan(
-    rooms: list[TargetCapacity],
+    targets: list[TargetCapacity],
     step: Step,
     avoided: frozenset[str],
     same_step: dict[str, int],
     allowed: frozenset[str] | None,
 ) -> None:
-    """Guards against an index that is fast and places tasks elsewhere than the rule says."""
+    """The index chooses the same target as a scan of all targets by the rule."""
     index = CapacityIndex([])
-    for room in rooms:
-        index.replace(TargetCapacity(room.target_id, Resources(1, 1), frozenset()))
-    for room in rooms:
-        index.replace(room)
+    for target in targets:
+        index.replace(TargetCapacity(target.target_id, Resources(1, 1), frozenset()))
+    for target in targets:
+        index.replace(target)
     chosen = index.choose(step, avoided, same_step, allowed)
-    assert (chosen and chosen.target_id) == choose_by_scan(step, rooms, avoided, same_step, allowed)
+    assert (chosen and chosen.target_id) == choose_by_scan(
+        step, targets, avoided, same_step, allowed
+    )
 
 
 def test_removed() -> None:
-    """Guards against starts on a target that takes none any more."""
+    """A removed target is never chosen; removing it twice is no error."""
     index = CapacityIndex([TargetCapacity('t0', Resources(4, 4), frozenset())])
     index.remove('t0')
     index.remove('t0')
     assert index.choose(Step(1, Resources(1, 1))) is None
 
 
-def test_looks_per_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a holder that takes longer for each start the larger the fleet is."""
-    looks = 0
+def test_rankings_per_start(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The number of targets that are ranked for a start doesn't grow with the fleet."""
+    rankings = 0
     compute_rank = capacity_index._compute_rank
 
-    def count_look(*arguments: object) -> capacity_index.Rank:
-        nonlocal looks
-        looks += 1
+    def count_ranking(*arguments: object) -> capacity_index.Rank:
+        nonlocal rankings
+        rankings += 1
         return compute_rank(*arguments)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(capacity_index, '_compute_rank', count_look)
-    rig = BoardRig(targets=TARGETS, cpu=32_000)
+    monkeypatch.setattr(capacity_index, '_compute_rank', count_ranking)
+    harness = BoardRig(targets=TARGETS, cpu=32_000)
     for number in range(200):
         steps = (Step(8, Resources(4_500, 100)),)
-        rig.add_job(make_job(*steps, job_id=f'{number:016x}'))
-    starts = [order for order in rig.plan() if isinstance(order, StartOrder)]
+        harness.add_job(make_job(*steps, job_id=f'{number:016x}'))
+    starts = [order for order in harness.plan() if isinstance(order, StartOrder)]
     assert len(starts) == 200 * 8
-    assert looks <= LOOKS_PER_START * len(starts)
+    assert rankings <= RANKINGS_PER_START * len(starts)
--- a/tests/scheduling/test_maintenance_rounds.py
+++ b/tests/scheduling/test_maintenance_rounds.py
@@ -1,8 +1,8 @@
-"""Upkeep of VMs whose tasks may be missed only one at a time.
+"""Maintenance of VMs whose tasks may be unavailable only one at a time.
 
-Pattern: event-driven reconciliation in place of polling. Seen on prevoz-plan-large quiet-1: the last
-ten VMs of a wave of 131 went down one every 2.7 s, because their tasks started elsewhere only when
-the list was next read, and the wave was late.
+Such a wave is late when the holder polls for VMs that went down instead of reacting to a new list.
+Seen on prevoz-plan-large quiet-1: the last ten VMs of a wave of 131 went down one every 2.7 s,
+because their tasks started elsewhere only when the list was next read.
 """
 
 from collections import Counter
@@ -28,25 +28,26 @@
 from tests.helpers.trio_clock import TrioClock
 
 VMS = 8
-UPKEEP_S = 2.0
+MAINTENANCE_S = 2.0
 LIMIT = 3
 WARM_UP_S = 0.4
-# The keeper looks at its waves in this period.
+# Limit of the time from the order of a VM until its task starts elsewhere, which is the interval
+# of the keeper.
 RESTART_LIMIT_S = 0.3
 
 
 class Fleet:
-    """Targets and the VM service; the store and the term never fail."""
+    """Targets and the VM service, with a store and a term that never fail."""
 
     def __init__(self, unavailable_limit: int = 1) -> None:
-        """Run a lasting step with a task on each VM, of which few may be away; half of them are due."""
-        self.rig = BoardRig(targets=2 * VMS, cpu=2_000)
+        """Run a long-running step with a task on each VM; half of the VMs are due."""
+        self.harness = BoardRig(targets=2 * VMS, cpu=2_000)
         step = Step(
             2 * VMS, Resources(1_000, 100), lasting=True, unavailable_limit=unavailable_limit
         )
-        self.rig.add_job(make_job(step))
+        self.harness.add_job(make_job(step))
         vm = Vm('', POOL, True, 'dc', frozenset(), Resources(2_000, 100), '')
-        # Those that are due come first where nothing else decides.
+        # The VMs that are due sort first, so that a task could be moved to one of them.
         names = sorted(f't{number}' for number in range(2 * VMS))
         self.vms = {name: replace(vm, name=name, target_id=name) for name in names}
         self.at_work_s: dict[str, float] = {}
@@ -56,7 +57,7 @@
         self.ordered_s = 0.0
         self.restarts_s: list[float] = []
         self.restarted_on: list[str] = []
-        self.unsure: set[str] = set()
+        self.reserved_by_earlier: set[str] = set()
         self.most_down = 0
         self.rules = JobRules(1)
         wave = UpkeepWave(1, tuple(names[:VMS]), VMS, 60)
@@ -72,22 +73,24 @@
         return list(self.vms.values())
 
     async def maintain(self, vm: str, *_: Any) -> VmOrderAnswer:
-        """Take a VM down at once and bring it back after its upkeep, as another target."""
+        """Take a VM down at once and bring it back after its maintenance, as another target."""
         taken = self.vms[vm]
         self.orders[vm] += 1
         self.ordered_s = trio.current_time()
         self.vms[vm] = replace(taken, up=False, in_upkeep=True)
         down = [
-            name for name in self.waves[1].vms if self.vms[name].in_upkeep or name in self.unsure
+            name
+            for name in self.waves[1].vms
+            if self.vms[name].in_upkeep or name in self.reserved_by_earlier
         ]
         self.most_down = max(self.most_down, len(down))
         self.nursery.start_soon(self._bring_back, taken)
         return VmOrderAnswer.DONE
 
     async def _bring_back(self, taken: Vm) -> None:
-        await trio.sleep(UPKEEP_S)
+        await trio.sleep(MAINTENANCE_S)
         self.vms[taken.name] = replace(taken, target_id=f'{taken.target_id}-later')
-        self.rig.add_target(f'{taken.target_id}-later', 2_000)
+        self.harness.add_target(f'{taken.target_id}-later', 2_000)
 
     async def read_row(self, table: str, part: str, key: str) -> Any:
         """Return a row."""
@@ -100,36 +103,36 @@
         return self.version
 
     def may_send(self, vm: str) -> bool:
-        """Tell that each order is announced."""
+        """Return that every send window is open."""
         return True
 
     async def reserve(self, vms: list[str]) -> bool:
-        """Store the VMs."""
+        """Reserve all VMs."""
         return True
 
     def may_reserve(self, vm: str) -> bool:
-        """Tell whether no earlier holder has ordered the VM."""
-        return vm not in self.unsure
+        """Return whether no earlier holder may have ordered the VM."""
+        return vm not in self.reserved_by_earlier
 
     def is_valid(self) -> bool:
-        """Tell that the term is held."""
+        """Return that the term is held."""
         return True
 
     def start(self, nursery: trio.Nursery, watch: VmWatch, needed: Callable[[], bool]) -> None:
-        """Run the targets and the reading of the list."""
+        """Run the targets and the reads of the list."""
         self.nursery = nursery
         nursery.start_soon(self.serve)
         nursery.start_soon(watch.run, needed, lambda: None)
 
     async def serve(self) -> None:
-        """Start what waits, and have tasks at work after their warm-up."""
+        """Start waiting tasks, which are at work after their warm-up."""
         while True:
-            for order in self.rig.plan():
+            for order in self.harness.plan():
                 if isinstance(order, StartOrder):
                     self.at_work_s[order.target_id] = trio.current_time() + WARM_UP_S
                     self.restarted_on.append(order.target_id)
                     self.restarts_s.append(trio.current_time() - self.ordered_s)
-            for record in self.rig.board.targets.values():
+            for record in self.harness.board.targets.values():
                 for run in record.runs.values():
                     at_work = trio.current_time() >= self.at_work_s[record.entry.target_id]
                     run.at_work = at_work and not run.ending
@@ -140,16 +143,16 @@
     """Return the keeper of a holder that takes over now."""
     clock = TrioClock()
     term = cast('Any', SimpleNamespace(epoch=1, taken_s=clock.read_monotonic_s()))
-    board = fleet.rig.board
+    board = fleet.harness.board
     return MaintenanceKeeper(
         term, 'n', fleet, fleet, fleet, watch, fleet, fleet, board, clock, lambda orders: None
     )
 
 
 async def test_one_at_a_time(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a wave that is late because of the time between two VMs of one step."""
+    """The VMs of one step follow each other without a delay, which would make the wave late."""
     fleet = cast('Any', Fleet())
-    watch = VmWatch(fleet, fleet.rig.board, TrioClock())
+    watch = VmWatch(fleet, fleet.harness.board, TrioClock())
     keeper = make_keeper(fleet, watch)
     async with trio.open_nursery() as nursery:
         fleet.start(nursery, watch, keeper.is_busy)
@@ -169,14 +172,14 @@
     assert due.isdisjoint(fleet.restarted_on)
 
 
-async def test_holders_in_turn(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against upkeeps that each holder of a wave orders anew, and a wave told done late.
+async def test_successive_holders(autojump_clock: trio.testing.MockClock) -> None:
+    """Each VM is ordered once over all holders of a wave, which is then reported as complete.
 
-    Seen on villacres-quito inc-c184: 22 orders for 15 VMs over four holders, and the wave said to be
-    complete 13 s after its last upkeep.
+    Seen on villacres-quito inc-c184: 22 orders for 15 VMs over four holders, and the wave was
+    reported as complete 13 s after its last maintenance.
     """
     fleet = cast('Any', Fleet())
-    watch = VmWatch(fleet, fleet.rig.board, TrioClock())
+    watch = VmWatch(fleet, fleet.harness.board, TrioClock())
     async with trio.open_nursery() as nursery:
         fleet.start(nursery, watch, lambda: True)
         await trio.sleep(2 * WARM_UP_S)
@@ -184,8 +187,8 @@
         for _ in range(VMS):
             with trio.move_on_after(1.7):
                 await keeper.run()
-            # Any order of the holder before is carried out or not by now.
-            await trio.sleep(UPKEEP_S)
+            # By now any order of the previous holder has been carried out or never will be.
+            await trio.sleep(MAINTENANCE_S)
             keeper = make_keeper(fleet, watch)
         with trio.move_on_after(VMS * 4):
             nursery.start_soon(keeper.run)
@@ -200,24 +203,25 @@
 @pytest.mark.parametrize(
     ('ordered', 'listed'), [(('t0',), ()), ((), ('t0', 't1')), (('t0',), ('t0', 't1'))]
 )
-async def test_upkeeps_of_an_earlier_holder(
+async def test_orders_of_an_earlier_holder(
     autojump_clock: trio.testing.MockClock, ordered: tuple[str, ...], listed: tuple[str, ...]
 ) -> None:
-    """Guards against a wave that stands still after a change of the holder, or goes beyond its limit.
+    """After a change of the holder a wave goes on within its limit of VMs that are down.
 
-    `ordered` may have been sent lately by the earlier holder, and `listed` are down for longer than
-    any order is on its way. Seen on prevoz-plan-large inc-a037: 6.8 s of a wave lost, one VM late.
+    The earlier holder may have ordered the VMs `ordered` just before; those in `listed` have been
+    down for longer than any order takes. Seen on prevoz-plan-large inc-a037: 6.8 s of a wave lost,
+    one VM late.
     """
     fleet = cast('Any', Fleet(unavailable_limit=2 * VMS))
     fleet.waves = {1: UpkeepWave(1, fleet.waves[1].vms, LIMIT, 60)}
-    fleet.unsure.update(ordered)
+    fleet.reserved_by_earlier.update(ordered)
     fleet.vms.update({name: replace(fleet.vms[name], up=False, in_upkeep=True) for name in listed})
-    watch = VmWatch(fleet, fleet.rig.board, TrioClock())
+    watch = VmWatch(fleet, fleet.harness.board, TrioClock())
     keeper = make_keeper(fleet, watch)
     async with trio.open_nursery() as nursery:
         fleet.start(nursery, watch, keeper.is_busy)
         nursery.start_soon(keeper.run)
-        with trio.move_on_after(VMS * UPKEEP_S):
+        with trio.move_on_after(VMS * MAINTENANCE_S):
             while sum(fleet.orders.values()) < VMS - len({*ordered, *listed}):
                 await trio.sleep(0.05)
         nursery.cancel_scope.cancel()
