--- a/tests/scheduling/test_order_reservations.py
+++ b/tests/scheduling/test_order_reservations.py
@@ -18,15 +18,12 @@
 STORE_AHEAD_MS = 5_000_000
 MS_PER_S = 1000
 # Length of the send window of a reservation, and the maximum time of an order to the service.
-SEND_WINDOW_S = 0.6
-ARRIVAL_MARGIN_S = 0.4
+SEND_S = 0.6
+ARRIVAL_S = 0.4
 
 
 class OneRow:
-    """A store with one row.
-
-    Commits fail while it is `unavailable`, and take `commit_s` otherwise.
-    """
+    """A store with one row; `away` lets its calls fail, `commit_s` is what a commit takes."""
 
     def __init__(self, clock: ManualClock) -> None:
         """Start without the row; the store's clock is ahead of the other one."""
@@ -35,11 +32,11 @@
         self.payload: bytes | None = None
         self.version = 0
         self.writes = 0
-        self.unavailable = False
+        self.away = False
 
     @property
     def store_time(self) -> StoreTime:
-        """Return a reading of the store's clock by a call that took 10 ms."""
+        """Return a reading of the store's clock that took 10 ms."""
         now_s = self._clock.read_monotonic_s()
         return StoreTime(STORE_AHEAD_MS + now_s * MS_PER_S, now_s - 0.01, now_s)
 
@@ -50,7 +47,7 @@
     async def commit(self, part: str, changes: Sequence[RowChange]) -> int:
         """Write the row when its version is the expected one."""
         self._clock.advance(self.commit_s)
-        if self.unavailable:
+        if self.away:
             raise StoreUnavailableError('away')
         change = changes[0]
         if change.expected_version != self.version:
@@ -93,7 +90,7 @@
     second = await harness.take_term()
     assert not second.may_reserve('a')
     assert second.may_reserve('b')
-    harness.clock.advance(RESERVATION_S + ARRIVAL_MARGIN_S + 0.01)
+    harness.clock.advance(RESERVATION_S + ARRIVAL_S + 0.01)
     assert second.may_reserve('a')
 
 
@@ -133,9 +130,9 @@
     """A VM isn't reserved without the row, because a successor would not know of the order."""
     harness = Harness()
     first = await harness.take_term()
-    harness.row.unavailable = True
+    harness.row.away = True
     assert not await first.reserve(['a'])
-    harness.row.unavailable = False
+    harness.row.away = False
     assert await first.reserve(['a'])
 
 
@@ -156,7 +153,7 @@
     harness.row.payload = garbage
     second = await harness.take_term()
     assert not second.may_reserve('a')
-    harness.clock.advance(RESERVATION_S + ARRIVAL_MARGIN_S + 0.01)
+    harness.clock.advance(RESERVATION_S + ARRIVAL_S + 0.01)
     assert second.may_reserve('a')
 
 
@@ -171,9 +168,9 @@
     assert await first.reserve(['a'])
     harness.clock.advance(2.5)
     second = await harness.take_term()
-    harness.clock.advance(SEND_WINDOW_S + RESERVATION_S - 2.5)
+    harness.clock.advance(SEND_S + RESERVATION_S - 2.5)
     assert not second.may_reserve('a')
-    harness.clock.advance(ARRIVAL_MARGIN_S + 0.1)
+    harness.clock.advance(ARRIVAL_S + 0.1)
     assert second.may_reserve('a')
 
 
@@ -184,7 +181,7 @@
     assert await reservations.reserve(['a'])
     assert reservations.may_send('a')
     assert not reservations.may_send('b')
-    harness.clock.advance(SEND_WINDOW_S + 0.1)
+    harness.clock.advance(SEND_S + 0.1)
     assert not reservations.may_send('a')
     assert await reservations.reserve(['a'])
     assert reservations.may_send('a')
@@ -209,7 +206,7 @@
     reservations = await harness.take_term()
     assert not reservations.may_reserve('a')
     assert reservations.may_reserve('b')
-    harness.clock.advance(RESERVATION_S + ARRIVAL_MARGIN_S + 0.01)
+    harness.clock.advance(RESERVATION_S + ARRIVAL_S + 0.01)
     assert reservations.may_reserve('a')
 
 
@@ -222,5 +219,5 @@
     first = await harness.take_term()
     assert await first.reserve(['a'])
     second = await harness.take_term()
-    harness.clock.advance(RESERVATION_S + ARRIVAL_MARGIN_S - 0.1)
+    harness.clock.advance(RESERVATION_S + ARRIVAL_S - 0.1)
     assert not second.may_reserve('a')
