--- a/comfreywind/scheduling/maintenance_keeper.py
+++ b/comfreywind/scheduling/maintenance_keeper.py
@@ -95,7 +95,7 @@
             # A new list shows which VMs have gone down, so that their tasks start elsewhere.
             await self._watch.wait_for_read(INTERVAL_S)
             try:
-                await self._advance_all()
+                await self._advance_waves()
             except StoreUnavailableError as error:
                 log.info('maintenance waves paused, next attempt follows: %s', error)
 
@@ -123,15 +123,15 @@
                 self._stored_count = sum(map(len, self._done.values()))
                 return
 
-    async def _advance_all(self) -> None:
+    async def _advance_waves(self) -> None:
         now_s = self._clock.read_monotonic_s()
         stale = self._watch.get_list_age_s(now_s) > LIST_AGE_LIMIT_S
         if stale or not self._keeper.is_valid():
             return
         for wave in self._list_open():
-            await self._advance(wave, now_s)
+            await self._advance_wave(wave, now_s)
 
-    async def _advance(self, wave: UpkeepWave, now_s: float) -> None:
+    async def _advance_wave(self, wave: UpkeepWave, now_s: float) -> None:
         done = self._done.setdefault(wave.wave, set())
         orders = self._orders.setdefault(wave.wave, {})
         self._complete_orders(orders, done, now_s)
--- a/comfreywind/scheduling/pool_sizer.py
+++ b/comfreywind/scheduling/pool_sizer.py
@@ -42,7 +42,7 @@
         may_reserve: Callable[[str], bool] = _always_reservable,
     ) -> None:
         """Size the pools of the scheduler state; `may_reserve` tells which VMs may be ordered."""
-        self._is_open = may_reserve
+        self._may_reserve = may_reserve
         self._board = board
         self._policy = policy
         self._orders: dict[str, VmOrder] = {}
@@ -73,7 +73,7 @@
         return bool(self._orders)
 
     def start_move(self, vm: Vm, pool: str, now_s: float) -> bool:
-        """Empty the VM and record its move before the order; return False if the VM has runs."""
+        """Record a move before its order and stop new work; return False if the VM has runs."""
         record = self._board.targets.get(vm.target_id)
         if record is not None and record.runs:
             return False
@@ -144,7 +144,7 @@
         return replace(load, surplus_for_s=now_s - since_s)
 
     def _is_idle(self, vm: Vm, standby: bool) -> bool:
-        if not vm.up or vm.name in self._orders or not self._is_open(vm.name):
+        if not vm.up or vm.name in self._orders or not self._may_reserve(vm.name):
             return False
         record = self._board.targets.get(vm.target_id)
         if record is None:
--- a/comfreywind/scheduling/vm_watch.py
+++ b/comfreywind/scheduling/vm_watch.py
@@ -21,7 +21,7 @@
 
 
 class VmWatch:
-    """Owns the list of VMs."""
+    """Reads the list of VMs and owns the latest one; `read_started_s` is when its read began."""
 
     def __init__(self, client: VmClient, board: Board, clock: Clock) -> None:
         """Use the client of the VM service and the scheduler state of the term."""
@@ -29,7 +29,7 @@
         self._board = board
         self._clock = clock
         self.vms: dict[str, Vm] = {}
-        self.list_read_s = float('-inf')
+        self.read_started_s = float('-inf')
         self._read_requested = trio.Event()
         self._read_done = trio.Event()
 
@@ -65,16 +65,16 @@
 
         Each incarnation of a VM has a target id of its own, and its runs end with it.
         """
-        return self.list_read_s > since_s and target_id not in self._list_live_targets()
+        return self.read_started_s > since_s and target_id not in self._list_live_targets()
 
     def get_list_age_s(self, now_s: float) -> float:
         """Return the age of the list in seconds."""
-        return now_s - self.list_read_s
+        return now_s - self.read_started_s
 
     async def _read(self) -> None:
         asked_s = self._clock.read_monotonic_s()
         self.vms = {vm.name: vm for vm in await self._client.read_vms()}
-        self.list_read_s = asked_s
+        self.read_started_s = asked_s
         self._read_done.set()
         self._read_done = trio.Event()
 
