--- a/comfreywind/scheduling/target_registry.py
+++ b/comfreywind/scheduling/target_registry.py
@@ -9,7 +9,7 @@
 from comfreywind.errors import RowsChangedError, StoreUnavailableError
 from comfreywind.http.client import Permit
 from comfreywind.jobs.row_format import RowFormatError
-from comfreywind.jobs.tables import HOLDER_PARTITION, REGISTRY_KEY, TABLE_TERM
+from comfreywind.jobs.tables import HOLDER_PARTITION, TABLE_TERM, TARGET_REGISTRY_KEY
 from comfreywind.platform.rows_client import RowsClient
 from comfreywind.platform.stored_row import RowChange, StoredRow
 from comfreywind.scheduling.scheduler_state import SchedulerState
@@ -62,7 +62,7 @@
         Raises StoreUnavailableError when the store gives no answer.
         """
         self._apply_earlier_row(
-            await self._rows.read_row(TABLE_TERM, HOLDER_PARTITION, REGISTRY_KEY)
+            await self._rows.read_row(TABLE_TERM, HOLDER_PARTITION, TARGET_REGISTRY_KEY)
         )
 
     def drop_earlier_targets(self) -> None:
@@ -104,7 +104,9 @@
             # Nothing may start on a target while a row without it is being written.
             record.in_registry = record.in_registry and target_id in to_store
         self._written_s = self._clock.read_monotonic_s()
-        change = RowChange(TABLE_TERM, REGISTRY_KEY, encode_registry(to_store), self._version)
+        change = RowChange(
+            TABLE_TERM, TARGET_REGISTRY_KEY, encode_registry(to_store), self._version
+        )
         try:
             self._version = await self._rows.commit(HOLDER_PARTITION, [change], self._permit)
         except RowsChangedError as error:
--- a/tests/compatibility/test_kept_rows.py
+++ b/tests/compatibility/test_kept_rows.py
@@ -32,7 +32,7 @@
 from comfreywind.control.lease_watch import LeaseWatch
 from comfreywind.control.pool_row import make_pool_fields
 from comfreywind.control.vm_row import make_vm_fields, parse_vm_row
-from comfreywind.decisions.keys import find_team
+from comfreywind.decisions.keys import authenticate_team
 from comfreywind.decisions.pools.budget import Budget
 from comfreywind.decisions.pools.holder import LeaseStep
 from comfreywind.decisions.pools.pool_plan import PoolPlan
@@ -204,7 +204,11 @@
     """Return all types of peer messages by their names on the wire."""
     for module in pkgutil.iter_modules(messages.__path__, f'{messages.__name__}.'):
         importlib.import_module(module.name)
-    return {each.__name__: each for each in PeerMessage.__subclasses__()}
+    return {
+        each.__name__: each
+        for each in PeerMessage.__subclasses__()
+        if each.__module__.startswith(f'{comfreywind.__name__}.')
+    }
 
 
 def list_schemas() -> list[str]:
@@ -520,7 +524,7 @@
     for case in vms:
         tables.store.commit([RowWrite('vms', case['key'], None, json.loads(case['text']))])
     await Feed(tables, objects, rules_view, fleet_view, clock).poll_once()  # type: ignore[arg-type]
-    teams = [find_team(rules_view.keys, f'Bearer {text}') for text in KEPT['store']['keys']]
+    teams = [authenticate_team(rules_view.keys, f'Bearer {text}') for text in KEPT['store']['keys']]
     assert (rules_view.read_version(), teams) == (1, ['rosters', None])
     request = list_message_types()['ViewRequest'](0, 0, 0, False)  # type: ignore[call-arg]
     parts = make_view_parts(request, rules_view, fleet_view)  # type: ignore[arg-type]
--- a/tests/scheduling/test_bursts_across_holders.py
+++ b/tests/scheduling/test_bursts_across_holders.py
@@ -97,9 +97,9 @@
 
 
 @pytest.mark.parametrize(
-    'fields', [{'occurrence_count': 3, 'interval_ms': 100}, {'lasting': True}], ids=str
+    'fields', [{'occurrence_count': 3, 'interval_ms': 100}, {'long_running': True}], ids=str
 )
 def test_other_jobs_are_no_burst(fields: dict[str, int]) -> None:
     """Timed and long-running jobs don't count as a burst."""
-    long_running = bool(fields.pop('lasting', False))
+    long_running = bool(fields.pop('long_running', False))
     assert list_past_work(make_job(Step(1, TASK, long_running=long_running), **fields)) == []
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -88,7 +88,7 @@
 def make_urgency(**fields: float) -> JobUrgency:
     """Return a job accepted at 0 with an objective of 2 s and 1 s of work left."""
     defaults: dict[str, float] = {
-        'lasting': False,
+        'long_running': False,
         'excess': False,
         'priority': 0,
         'accepted_ms': 0,
@@ -109,7 +109,7 @@
         (make_urgency(remaining_ms=500), make_urgency(), 3000),
         (make_urgency(), make_urgency(accepted_ms=-6000), 3000),
     ],
-    ids=['lasting', 'share', 'priority', 'due', 'on time', 'soonest late', 'hopeless'],
+    ids=['long-running', 'share', 'priority', 'due', 'on time', 'soonest late', 'hopeless'],
 )
 def test_order_of_work(first: JobUrgency, second: JobUrgency, now_ms: float) -> None:
     """Jobs that can still be on time come before jobs that can't."""
--- a/tests/scheduling/test_foreign_rows.py
+++ b/tests/scheduling/test_foreign_rows.py
@@ -8,10 +8,10 @@
 from comfreywind.jobs.row_format import RowFormatError
 from comfreywind.jobs.tables import (
     HOLDER_PARTITION,
-    REGISTRY_KEY,
     TABLE_INTAKE,
     TABLE_PROGRESS,
     TABLE_TERM,
+    TARGET_REGISTRY_KEY,
     TERM_KEY,
     TERM_PARTITION,
     compute_intake_partition,
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    ('part', 'key'), [(TERM_PARTITION, TERM_KEY), (HOLDER_PARTITION, REGISTRY_KEY)]
+    ('part', 'key'), [(TERM_PARTITION, TERM_KEY), (HOLDER_PARTITION, TARGET_REGISTRY_KEY)]
 )
 @pytest.mark.parametrize('garbage', [b'\xc1', b'\x91\x63', b'\x01'])
 async def test_unreadable_term_rows(part: str, key: str, garbage: bytes) -> None:
--- a/tests/scheduling/test_holder.py
+++ b/tests/scheduling/test_holder.py
@@ -12,10 +12,10 @@
 from comfreywind.jobs.queue import Queue
 from comfreywind.jobs.tables import (
     HOLDER_PARTITION,
-    REGISTRY_KEY,
     TABLE_INTAKE,
     TABLE_PROGRESS,
     TABLE_TERM,
+    TARGET_REGISTRY_KEY,
     TERM_KEY,
     TERM_PARTITION,
     compute_intake_partition,
@@ -52,7 +52,11 @@
         )
         write_row(store, TABLE_PROGRESS, part, JOB_ID, encode_progress(Progress()))
         write_row(
-            store, TABLE_TERM, HOLDER_PARTITION, REGISTRY_KEY, encode_registry(frozenset(('i-0',)))
+            store,
+            TABLE_TERM,
+            HOLDER_PARTITION,
+            TARGET_REGISTRY_KEY,
+            encode_registry(frozenset(('i-0',))),
         )
         released = TermRow('node-9', 7, released=True)
         write_row(store, TABLE_TERM, TERM_PARTITION, TERM_KEY, encode_term(released))
@@ -89,7 +93,11 @@
             store, TABLE_INTAKE, compute_intake_partition(JOB_ID), JOB_ID, encode_job(make_job())
         )
         write_row(
-            store, TABLE_TERM, HOLDER_PARTITION, REGISTRY_KEY, encode_registry(frozenset(('i-0',)))
+            store,
+            TABLE_TERM,
+            HOLDER_PARTITION,
+            TARGET_REGISTRY_KEY,
+            encode_registry(frozenset(('i-0',))),
         )
         released = TermRow('node-9', 7, released=True)
         write_row(store, TABLE_TERM, TERM_PARTITION, TERM_KEY, encode_term(released))
--- a/tests/scheduling/test_target_link.py
+++ b/tests/scheduling/test_target_link.py
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize(
-    ('lasting', 'at_work', 'wait_ms'), [(1, 0, 500), (1, 1, 1000), (0, 0, 1000)]
+    ('long_running', 'at_work', 'wait_ms'), [(1, 0, 500), (1, 1, 1000), (0, 0, 1000)]
 )
 def test_wait_for_report(long_running: int, at_work: int, wait_ms: int) -> None:
     """Long-running tasks that warm up are polled more often, because maintenance waits for them.
