--- a/comfreywind/entry/portions/__init__.py
+++ b/comfreywind/entry/portions/__init__.py
@@ -1,1 +1,1 @@
-"""The task that holds this entry's portions: session, store rows and peer messages."""
+"""Runs the portion protocol of an entry: its session, its portion rows and its peer messages."""
--- a/comfreywind/entry/portions/fence_keeper.py
+++ b/comfreywind/entry/portions/fence_keeper.py
@@ -1,4 +1,4 @@
-"""Fences members that no longer renew, and agrees to fences."""
+"""Fences members that do not renew their session, and agrees to fences by other members."""
 
 import logging
 from dataclasses import replace
@@ -17,8 +17,8 @@
 from comfreywind.entry.portions.failure_detector import FailureDetector
 from comfreywind.entry.portions.member_row import encode_member_row
 from comfreywind.entry.portions.portion_book import PortionBook
-from comfreywind.entry.portions.portion_view import PortionView, SeenMember
-from comfreywind.entry.portions.turn_order import RANK_DELAY_S, VIEW_AGE_LIMIT_S, read_rank
+from comfreywind.entry.portions.portion_view import ObservedMember, PortionView
+from comfreywind.entry.portions.turn_order import MAX_VIEW_AGE_S, RANK_DELAY_S, compute_rank
 from comfreywind.errors import PlatformError
 from comfreywind.peers.messages.fence_query import FenceQuery
 from comfreywind.peers.messages.fence_reply import FenceReply
@@ -30,14 +30,18 @@
 from comfreywind.report.decision_log import DecisionLog
 from comfreywind.settings.timings import Timings
 
-# A process that is frozen for longer finds its row gone, which it takes as a fence.
-KEEP_FENCED_S = 60.0
+# Rows of fenced holders are kept at least this long. A process that is frozen for longer may find
+# its row removed and handles that as a fence.
+FENCED_ROW_RETENTION_S = 60.0
 
 log = logging.getLogger('comfreywind.portions')
 
 
 class FenceKeeper:
-    """Collects the agreements that a fence needs and writes it."""
+    """Collects the agreements of the members that a fence needs, and writes the fence.
+
+    Members that agree exchange no units with the holder any more and report all flows between them.
+    """
 
     def __init__(
         self,
@@ -50,7 +54,7 @@
         timings: Timings,
         decisions: DecisionLog,
     ) -> None:
-        """Answer the queries of peers and follow the renewals of all members."""
+        """Subscribe to the fence messages of peers and to the renewals in the view."""
         self._own_name = own_name
         self._hub = hub
         self._tables = tables
@@ -59,104 +63,112 @@
         self._clock = clock
         self._timing = SessionTiming(timings.session_ttl_s, timings.clock_drift_ratio)
         self._decisions = decisions
-        self._cases: dict[str, FenceAttempt] = {}
+        self._attempts: dict[str, FenceAttempt] = {}
         self.failure_detector = FailureDetector(hub, view, clock)
         hub.subscribe(FenceQuery, self._receive_query)
         hub.subscribe(FenceReply, self._receive_reply)
-        view.subscribe(self._see_renewals)
+        view.subscribe(self._handle_renewals)
 
     async def tick(self) -> None:
-        """Go on with the fence of every member whose session has ended."""
-        if self._view.read_age_s() > VIEW_AGE_LIMIT_S:
+        """Query the missing agreements, or write the fence, for each member whose session has ended."""
+        if self._view.read_age_s() > MAX_VIEW_AGE_S:
             return
-        await self._remove_old_rows()
-        for seen in self._view.list_live():
-            if seen.member.holder != self._book.holder and self._is_due(seen):
-                await self._advance(seen)
-
-    async def _remove_old_rows(self) -> None:
-        """Remove rows of holders that were fenced long ago and whose units are settled."""
-        if not self._book.is_valid() or self._read_rank(own_former=False):
+        await self._remove_fenced_rows()
+        for observed in self._view.list_live():
+            if observed.member.holder != self._book.holder and self._is_due(observed):
+                await self._advance_fence(observed)
+
+    async def _remove_fenced_rows(self) -> None:
+        """Remove the member rows of holders fenced long ago whose units are settled."""
+        if not self._book.is_valid() or self._compute_rank(is_own_incarnation=False):
             return
-        oldest_s = self._clock.read_monotonic_s() - KEEP_FENCED_S
-        for seen in list(self._view.members.values()):
-            old = seen.member.fenced and seen.since_s < oldest_s
-            if old and self._view.is_settled(seen.member):
-                write = RowWrite(TABLE_MEMBERS, seen.member.name, seen.version, None)
-                await self._commit_and_poll([write], f'the removal of {seen.member.holder}')
-
-    def _is_due(self, seen: SeenMember) -> bool:
-        own_former = seen.member.name == self._own_name
-        if not own_former and not self._book.is_valid():
+        oldest_s = self._clock.read_monotonic_s() - FENCED_ROW_RETENTION_S
+        for observed in list(self._view.members.values()):
+            is_outdated = observed.member.fenced and observed.first_seen_s < oldest_s
+            if is_outdated and self._view.is_settled(observed.member):
+                write = RowWrite(TABLE_MEMBERS, observed.member.name, observed.version, None)
+                await self._commit_and_poll([write], f'the removal of {observed.member.holder}')
+
+    def _is_due(self, observed: ObservedMember) -> bool:
+        is_own_incarnation = observed.member.name == self._own_name
+        if not is_own_incarnation and not self._book.is_valid():
             return False
-        now_s = self._clock.read_monotonic_s() - self._read_rank(own_former) * RANK_DELAY_S
-        return is_expired(self._find_case(seen), self._timing, now_s)
+        now_s = (
+            self._clock.read_monotonic_s() - self._compute_rank(is_own_incarnation) * RANK_DELAY_S
+        )
+        return is_expired(self._update_attempt(observed), self._timing, now_s)
 
-    def _read_rank(self, own_former: bool) -> int:
-        if own_former:
+    def _compute_rank(self, is_own_incarnation: bool) -> int:
+        if is_own_incarnation:
             return 0
-        return read_rank(self._own_name, self._hub)
+        return compute_rank(self._own_name, self._hub)
 
-    def _find_case(self, seen: SeenMember) -> FenceAttempt:
-        holder = seen.member.holder
-        known = self._cases.get(holder)
+    def _update_attempt(self, observed: ObservedMember) -> FenceAttempt:
+        holder = observed.member.holder
+        known = self._attempts.get(holder)
         agreements = known.agreements if known else ()
-        if known is not None and known.renewal_number != seen.member.renewal_number:
+        if known is not None and known.renewal_number != observed.member.renewal_number:
             agreements = ()
-        case = FenceAttempt(holder, seen.member.renewal_number, seen.since_s, agreements)
-        self._cases[holder] = case
-        return case
-
-    async def _advance(self, seen: SeenMember) -> None:
-        holder = seen.member.holder
-        self._agree_myself(holder)
-        case = self._cases[holder]
-        missing = list_missing_members(case, self._list_needed())
+        attempt = FenceAttempt(
+            holder, observed.member.renewal_number, observed.first_seen_s, agreements
+        )
+        self._attempts[holder] = attempt
+        return attempt
+
+    async def _advance_fence(self, observed: ObservedMember) -> None:
+        holder = observed.member.holder
+        self._add_own_agreement(holder)
+        attempt = self._attempts[holder]
+        missing = list_missing_members(attempt, self._list_required_members())
         if not missing:
-            await self._commit(seen, case)
+            await self._commit_fence(observed, attempt)
             return
-        query = FenceQuery(holder, case.renewal_number)
+        query = FenceQuery(holder, attempt.renewal_number)
         for member in missing:
             self._hub.send(member.partition('@')[0], query)
         await self.failure_detector.probe(missing)
 
-    def _agree_myself(self, holder: str) -> None:
-        """Agree as a member; a process that has not joined has promised nothing."""
-        case = self._cases[holder]
+    def _add_own_agreement(self, holder: str) -> None:
+        """Add the agreement of this entry, unless a promise that it gave still prevents that.
+
+        A process that has not joined agrees to nothing: it is no member and has given no promise.
+        """
+        attempt = self._attempts[holder]
         now_s = self._clock.read_monotonic_s()
-        effects = self._book.apply(FenceRequested(holder, case.renewal_number, now_s))
+        effects = self._book.apply(FenceRequested(holder, attempt.renewal_number, now_s))
         if effects:
             agreement = (self._book.holder, self._book.list_flows_with(holder))
-            self._cases[holder] = add_agreement(case, case.renewal_number, agreement)
+            self._attempts[holder] = add_agreement(attempt, attempt.renewal_number, agreement)
 
-    def _list_needed(self) -> frozenset[str]:
+    def _list_required_members(self) -> frozenset[str]:
         """Return the members whose agreement is needed.
 
-        A member that was fenced or proven dead may have given a promise just before that.
+        A member that was fenced or has died may have given a promise just before that. Its agreement
+        is needed until such a promise has certainly ended.
         """
         oldest_s = self._clock.read_monotonic_s() - self._timing.observed_ttl_s
         return frozenset(
-            seen.member.holder
-            for seen in self._view.members.values()
-            if not self._is_excused(seen, oldest_s)
+            observed.member.holder
+            for observed in self._view.members.values()
+            if not self._is_exempt(observed, oldest_s)
         )
 
-    def _is_excused(self, seen: SeenMember, oldest_s: float) -> bool:
-        if seen.member.fenced and seen.since_s <= oldest_s:
+    def _is_exempt(self, observed: ObservedMember, oldest_s: float) -> bool:
+        if observed.member.fenced and observed.first_seen_s <= oldest_s:
             return True
-        dead_s = self.failure_detector.read_dead_since_s(seen.member)
-        return dead_s is not None and dead_s <= oldest_s
+        dead_since_s = self.failure_detector.get_dead_since_s(observed.member)
+        return dead_since_s is not None and dead_since_s <= oldest_s
 
-    async def _commit(self, seen: SeenMember, case: FenceAttempt) -> None:
-        fenced = replace(seen.member, fenced=True, fenced_flows=collect_flows(case))
+    async def _commit_fence(self, observed: ObservedMember, attempt: FenceAttempt) -> None:
+        fenced = replace(observed.member, fenced=True, fenced_flows=collect_flows(attempt))
         writes = [
-            RowWrite(TABLE_MEMBERS, fenced.name, seen.version, encode_member_row(fenced)),
-            RowWrite(TABLE_MEMBERSHIP, ROW_VIEW, self._view.view_version, {}),
+            RowWrite(TABLE_MEMBERS, fenced.name, observed.version, encode_member_row(fenced)),
+            RowWrite(TABLE_MEMBERSHIP, ROW_VIEW, self._view.membership_version, {}),
         ]
-        self._cases.pop(fenced.holder, None)
+        self._attempts.pop(fenced.holder, None)
         if not await self._commit_and_poll(writes, f'the fence of {fenced.holder}'):
             return
-        log.warning('fenced %s', fenced.holder)
+        log.warning('fenced %s: no renewal, and all required members agreed', fenced.holder)
         self._decisions.record(
             'portion',
             f'entry/{fenced.name}',
@@ -166,17 +178,17 @@
         )
 
     async def _commit_and_poll(self, writes: list[RowWrite], name: str) -> bool:
-        """Return whether the writes are known to have taken effect."""
+        """Commit the writes and refresh the view; return whether the writes are known to be applied."""
         committed = True
         try:
             await self._tables.commit(writes)
         except PlatformError as error:
             committed = False
-            log.warning('%s was refused or has no known outcome: %s', name, error)
+            log.warning('%s failed or its outcome is unknown: %s', name, error)
         try:
             await self._view.poll()
         except PlatformError as error:
-            log.warning("the members can't be read: %s", error)
+            log.warning("the members and portions can't be read: %s", error)
         return committed
 
     def _receive_query(self, sender: PeerIdentity, query: FenceQuery) -> None:
@@ -194,14 +206,18 @@
         self._hub.send(sender.name, reply)
 
     def _receive_reply(self, sender: PeerIdentity, reply: FenceReply) -> None:
-        case = self._cases.get(reply.holder)
-        if case is None or reply.member.partition('@')[0] != sender.name:
+        attempt = self._attempts.get(reply.holder)
+        if attempt is None or reply.member.partition('@')[0] != sender.name:
             return
         agreement = (reply.member, reply.flows)
-        self._cases[reply.holder] = add_agreement(case, reply.renewal_number, agreement)
-
-    def _see_renewals(self) -> None:
-        for seen in self._view.list_live():
-            self._book.apply(RenewalObserved(seen.member.holder, seen.member.renewal_number))
-        live = {seen.member.holder for seen in self._view.list_live()}
-        self._cases = {holder: case for holder, case in self._cases.items() if holder in live}
+        self._attempts[reply.holder] = add_agreement(attempt, reply.renewal_number, agreement)
+
+    def _handle_renewals(self) -> None:
+        for observed in self._view.list_live():
+            self._book.apply(
+                RenewalObserved(observed.member.holder, observed.member.renewal_number)
+            )
+        live = {observed.member.holder for observed in self._view.list_live()}
+        self._attempts = {
+            holder: attempt for holder, attempt in self._attempts.items() if holder in live
+        }
--- a/comfreywind/entry/portions/member_row.py
+++ b/comfreywind/entry/portions/member_row.py
@@ -10,7 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRow:
-    """One incarnation of an entry; `fenced_flows` are the flows by resource to settle after a fence."""
+    """The latest incarnation of an entry that joined, and the last renewal of its session.
+
+    `peer_address` is where the entry accepts connections of its peers. `fenced_flows` maps each
+    resource to the flows that the members reported when they agreed to the fence of this
+    incarnation; whoever settles the holder records them in the portion row.
+    """
 
     name: str
     incarnation: int
@@ -22,12 +27,12 @@
 
     @property
     def holder(self) -> str:
-        """Return the name under which units are recorded."""
+        """Return the holder name under which portion rows record the units of this incarnation."""
         return make_holder(self.name, self.incarnation)
 
 
 def encode_member_row(member: MemberRow) -> dict[str, Any]:
-    """Return the document of the row."""
+    """Return the row as a JSON document; the name is the key of the row."""
     return {
         'incarnation': member.incarnation,
         'peer_address': member.peer_address,
@@ -39,7 +44,7 @@
 
 
 def decode_member_row(name: str, document: dict[str, Any]) -> MemberRow:
-    """Return the row in the document."""
+    """Return the member row that the document under the key `name` describes."""
     flows = document.get('fenced_flows', {})
     return MemberRow(
         name=name,
--- a/comfreywind/entry/portions/portion_codec.py
+++ b/comfreywind/entry/portions/portion_codec.py
@@ -1,4 +1,4 @@
-"""Portion rows as documents of the table service."""
+"""Converts portion rows to and from documents of the table service."""
 
 from typing import Any
 
@@ -14,13 +14,13 @@
     return f'{RESOURCE_PREFIX}{team}'
 
 
-def read_team(resource: str) -> str:
-    """Return the team whose ceiling the resource is."""
+def parse_team(resource: str) -> str:
+    """Return the name of the team whose ceiling the resource stands for."""
     return resource.removeprefix(RESOURCE_PREFIX)
 
 
 def encode_portion_row(row: PortionRow) -> dict[str, Any]:
-    """Return the document of the row."""
+    """Return the row as a JSON document."""
     return {
         'ceiling_units': row.ceiling_units,
         'ceiling_version': row.ceiling_version,
@@ -32,7 +32,7 @@
 
 
 def decode_portion_row(document: dict[str, Any]) -> PortionRow:
-    """Return the row in the document."""
+    """Return the portion row that the document describes."""
     return PortionRow(
         ceiling_units=document['ceiling_units'],
         ceiling_version=document['ceiling_version'],
@@ -44,5 +44,5 @@
 
 
 def decode_totals(document: dict[str, int]) -> NumberMap:
-    """Return the map in the form that the decisions use."""
+    """Return the JSON object as an immutable map of names to numbers."""
     return tuple(sorted(document.items()))
--- a/tests/compatibility/test_kept_rows.py
+++ b/tests/compatibility/test_kept_rows.py
@@ -48,7 +48,7 @@
     decode_portion_row,
     encode_portion_row,
     make_resource,
-    read_team,
+    parse_team,
 )
 from comfreywind.entry.refusal_error import RefusalError
 from comfreywind.entry.rules_view import RulesView
@@ -439,7 +439,7 @@
 def test_names_of_resources() -> None:
     """Guards against portions that are kept under another key."""
     assert make_resource('rosters') == 'team:rosters'
-    assert read_team('team:rosters') == 'rosters'
+    assert parse_team('team:rosters') == 'rosters'
 
 
 @pytest.mark.parametrize('case', KEPT['foreign'], ids=lambda case: case['name'])
