--- a/tests/processes/test_portions.py
+++ b/tests/processes/test_portions.py
@@ -1,4 +1,4 @@
-"""Ceilings with real processes that are killed, frozen and cut off from the store."""
+"""Portions of a ceiling at real entry processes that are killed, frozen or cut off from the store."""
 
 import time
 from collections.abc import Iterator
@@ -13,18 +13,19 @@
 CEILING = 12
 MAX_RUN_S = 2
 SESSION_TTL_S = 2
-# Period in which entries tell each other their demand, the default of heartbeat_interval_s.
+# Interval at which entries send their demand to each other: the default of heartbeat_interval_s.
 HEARTBEAT_S = 0.25
 RUN_MARGIN_S = 1
-# The time to live with drift, a feed poll, the ranks of the entries and two periods of the fence task.
+# Time from the last renewal of a member to its fence: the time to live with clock drift, a poll of
+# the feed, the rank delays of the entries and two runs of the fence task.
 FENCE_LIMIT_S = SESSION_TTL_S * 1.01 + 2
 RECLAIM_LIMIT_S = FENCE_LIMIT_S + MAX_RUN_S + RUN_MARGIN_S + 1.5
-# Units follow demand to another entry within this time.
+# Time within which units move to the entry with the demand.
 FOLLOW_LIMIT_S = 3
 
 
 def make_bundle(ceiling_units: int) -> dict[str, object]:
-    """Return a bundle whose team is limited by its ceiling only."""
+    """Return a bundle in which only the ceiling limits the team."""
     return {
         'teams': {TEAM: {'ceiling_units': ceiling_units}},
         'pools': {'crossings': {'max_run_s': MAX_RUN_S, 'minimum_available_ratio': 0.1}},
@@ -34,7 +35,7 @@
 
 @pytest.fixture
 def portion_fleet() -> Iterator[Fleet]:
-    """Run three entries whose targets have far more slots than the ceiling."""
+    """Run three entries, with targets that have far more slots than the ceiling has units."""
     timings = {
         'drain_notice_s': 0.2,
         'session_ttl_s': SESSION_TTL_S,
@@ -50,19 +51,19 @@
 
 
 def read_running(fleet: Fleet) -> int:
-    """Return what runs now for the team, and check that it was never above the ceiling."""
+    """Return how many requests of the team run now; check that the ceiling was never exceeded."""
     log = fleet.read_run_log()
     assert log['highest_running'].get(TEAM, 0) <= CEILING
     return log['running'].get(TEAM, 0)
 
 
 def wait_for_full_use(fleet: Fleet, timeout_s: float) -> None:
-    """Wait until all units, or all but one that is on its way, run work."""
+    """Wait until all units are in use, except at most one that is being transferred."""
     wait_until(lambda: read_running(fleet) >= CEILING - 1, 'work at the ceiling', timeout_s)
 
 
 def move_load(fleet: Fleet, load: SteadyLoad, busy: int) -> None:
-    """Let only one entry be called and wait until it runs work with nearly all units."""
+    """Call only the entry `busy`, and wait until it uses all units or all but one."""
     for entry in range(3):
         load.set_callers(entry, 30 if entry == busy else 0)
     others = [entry for entry in range(3) if entry != busy]
@@ -71,7 +72,10 @@
 
 
 def test_units_follow_the_load(portion_fleet: Fleet) -> None:
-    """Guards against units that stay at entries that have no use for them."""
+    """Units move to the entry with the demand.
+
+    They would stay unused if an entry without demand kept them.
+    """
     with SteadyLoad(portion_fleet, TEAM, 'rebuild', 0.2) as load:
         for busy in (0, 1, 2, 0):
             move_load(portion_fleet, load, busy)
@@ -87,7 +91,10 @@
 
 
 def test_entries_take_turns(portion_fleet: Fleet) -> None:
-    """Guards against an entry that keeps the only unit while the requests of others wait."""
+    """All entries answer requests although the ceiling has one unit.
+
+    An entry that kept the only unit would starve the requests at the others.
+    """
     portion_fleet.roll_out(2, make_bundle(1))
     wait_until(lambda: _is_in_force(portion_fleet, 2), 'version 2 on all entries')
     with SteadyLoad(portion_fleet, TEAM, 'rebuild', 0.1) as load:
@@ -106,7 +113,10 @@
 
 
 def test_killed_entry(portion_fleet: Fleet) -> None:
-    """Guards against units lost with a killed entry, and against using them while its work runs."""
+    """The units of a killed entry are reclaimed, but not while its work may still run.
+
+    Units reclaimed too early would let more run than the ceiling; units never reclaimed are lost.
+    """
     with SteadyLoad(portion_fleet, TEAM, 'rebuild', 0.5) as load:
         move_load(portion_fleet, load, 1)
         portion_fleet.entries[1].kill()
@@ -121,7 +131,10 @@
 
 
 def test_frozen_entry(portion_fleet: Fleet) -> None:
-    """Guards against a frozen entry that starts work with units that others have reclaimed."""
+    """A frozen entry is fenced, and starts no work with its former units when it resumes.
+
+    The others have reclaimed these units, so using them would exceed the ceiling.
+    """
     with SteadyLoad(portion_fleet, TEAM, 'rebuild', 0.5) as load:
         move_load(portion_fleet, load, 1)
         portion_fleet.entries[1].freeze()
@@ -137,7 +150,10 @@
 
 
 def test_store_outage(portion_fleet: Fleet) -> None:
-    """Guards against work that stops, or units that stay where they are, while the store is down."""
+    """While the store is down, work goes on, units still move and no entry is fenced.
+
+    Without promises between the entries, all sessions would end.
+    """
     with SteadyLoad(portion_fleet, TEAM, 'rebuild', 0.2) as load:
         move_load(portion_fleet, load, 0)
         portion_fleet.set_platform_faults(down=True)
@@ -154,7 +170,10 @@
 
 @pytest.mark.parametrize('store_down', [False, True])
 def test_graceful_stop(portion_fleet: Fleet, store_down: bool) -> None:
-    """Guards against units that wait for a fence although their entry stopped gracefully."""
+    """The units of an entry that stops gracefully are usable at once, without a fence.
+
+    If the store is down, the entry gives them to a peer.
+    """
     with SteadyLoad(portion_fleet, TEAM, 'rebuild', 0.2) as load:
         move_load(portion_fleet, load, 1)
         load.set_callers(1, 0)
@@ -168,7 +187,10 @@
 
 
 def test_lost_replies(portion_fleet: Fleet) -> None:
-    """Guards against units counted twice or lost when a write took effect but its reply was lost."""
+    """A write that took effect but whose reply was lost is counted exactly once.
+
+    Otherwise units would be lost, or used twice and the ceiling exceeded.
+    """
     with SteadyLoad(portion_fleet, TEAM, 'rebuild', 0.2) as load:
         for busy in (0, 1, 2):
             portion_fleet.set_platform_faults(lose_replies=6)
@@ -177,14 +199,15 @@
 
 
 def test_lowered_ceiling(portion_fleet: Fleet) -> None:
-    """Guards against starts while more than the new ceiling runs, and against cutting off work.
-
-    The requests from before the change may all end at the same moment, and what runs then passes the
-    new ceiling on its way down (traced: 5, 4, 3 and 0 within 70 ms). The units of the new ceiling then
-    move to the entries with demand, which takes a heartbeat and a write for each move (traced: up to
-    0.37 s) and may take as long as any move of units. From then on a unit is free only between the end
-    of one request and the start of the next (traced: dips of 20 ms); one that stays away for longer
-    than a heartbeat, by which entries tell their demand, is lost.
+    """No request starts while more run than the lowered ceiling allows, and then all units are used.
+
+    Running requests are not cut off. The ones from before the change may all end at the same moment,
+    so that the running count falls below the new ceiling (traced: 5, 4, 3 and 0 within 70 ms). The
+    units of the new ceiling then move to the entries with demand. Each move takes a heartbeat and a
+    write (traced: up to 0.37 s), and the limit is that of any move of units, `FOLLOW_LIMIT_S`. From
+    then on a unit is idle only between the end of one request and the start of the next (traced:
+    20 ms). Entries send their demand with each heartbeat, so a unit that is idle for longer than a
+    heartbeat is lost.
     """
     lowered = CEILING // 3
     with SteadyLoad(portion_fleet, TEAM, 'rebuild', 1.5) as load:
@@ -208,8 +231,8 @@
             if running <= lowered or below_s:
                 below_s = below_s or sampled_s
                 fell = fell or running < lowered
-                settled = fell or sampled_s - below_s > HEARTBEAT_S
-                full_s = full_s or (sampled_s if settled and running == lowered else 0)
+                is_stable = fell or sampled_s - below_s > HEARTBEAT_S
+                full_s = full_s or (sampled_s if is_stable and running == lowered else 0)
             assert full_s or not below_s or sampled_s - below_s <= FOLLOW_LIMIT_S
             missing = full_s and running < lowered
             missing_since_s = min(missing_since_s, sampled_s) if missing else float('inf')
