--- a/comfreywind/entry/assembly/core_parts.py
+++ b/comfreywind/entry/assembly/core_parts.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoreParts:
+class CoreComponents:
     """What most parts need."""
 
     settings: EntrySettings
@@ -35,11 +35,11 @@
     hub: StreamHub
 
 
-def make_core_parts(settings: EntrySettings) -> CoreParts:
+def make_core_components(settings: EntrySettings) -> CoreComponents:
     """Return the core parts; nothing is connected yet."""
     clock = SystemClock()
     client = HttpClient(settings.platform_address, settings.timings.platform_timeout_s)
-    return CoreParts(
+    return CoreComponents(
         settings=settings,
         clock=clock,
         tables=TableClient(client),
--- a/comfreywind/entry/assembly/operating_parts.py
+++ b/comfreywind/entry/assembly/operating_parts.py
@@ -4,8 +4,8 @@
 
 from comfreywind.control.control_task import ControlTask
 from comfreywind.control.make_control import make_control
-from comfreywind.entry.assembly.core_parts import CoreParts
-from comfreywind.entry.assembly.serving_parts import ServingParts
+from comfreywind.entry.assembly.core_parts import CoreComponents
+from comfreywind.entry.assembly.serving_parts import ServingComponents
 from comfreywind.entry.confirmations import Confirmations
 from comfreywind.entry.feed import Feed
 from comfreywind.entry.member_status import MemberStatus
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperatingParts:
+class OperatingComponents:
     """Feed, control, reports and the operators' side."""
 
     feed: Feed
@@ -34,7 +34,9 @@
     operator_app: OperatorApp
 
 
-def make_operating_parts(core: CoreParts, serving: ServingParts) -> OperatingParts:
+def make_operating_components(
+    core: CoreComponents, serving: ServingComponents
+) -> OperatingComponents:
     """Return the parts that operate the entry."""
     settings = core.settings
     recorder = ResultRecorder(core.clock)
@@ -61,7 +63,7 @@
         core.control_view,
         Explainer(settings.name, core.decisions, decision_store, core.hub),
     )
-    return OperatingParts(
+    return OperatingComponents(
         feed=Feed(
             core.tables,
             core.objects,
@@ -86,7 +88,7 @@
     )
 
 
-def _make_control(core: CoreParts, serving: ServingParts) -> ControlTask:
+def _make_control(core: CoreComponents, serving: ServingComponents) -> ControlTask:
     return make_control(
         core.hub.identity,
         core.hub,
@@ -102,6 +104,6 @@
     )
 
 
-def _name_process(core: CoreParts) -> str:
+def _name_process(core: CoreComponents) -> str:
     """Return a name that no other process of this entry has had."""
     return f'{core.settings.name}-{core.hub.identity.incarnation}'
--- a/comfreywind/entry/assembly/serving_parts.py
+++ b/comfreywind/entry/assembly/serving_parts.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from comfreywind.entry.assembly.core_parts import CoreParts
+from comfreywind.entry.assembly.core_parts import CoreComponents
 from comfreywind.entry.caller_app import CallerApp
 from comfreywind.entry.claims import Claims
 from comfreywind.entry.dispatch_policy import make_policy
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServingParts:
+class ServingComponents:
     """The callers' side and what places and sends its requests."""
 
     units: RunnableUnits
@@ -33,7 +33,7 @@
     caller_app: CallerApp
 
 
-def make_serving_parts(core: CoreParts) -> ServingParts:
+def make_serving_components(core: CoreComponents) -> ServingComponents:
     """Return the parts that serve callers."""
     settings = core.settings
     units = make_units(settings, core.hub, core.tables, core.rules_view, core.clock, core.decisions)
@@ -80,7 +80,7 @@
         settings.body_limit_bytes,
         settings.timings.default_deadline_s,
     )
-    return ServingParts(
+    return ServingComponents(
         units=units,
         health=health,
         dispatcher=dispatcher,
--- a/comfreywind/entry/bundle_loading.py
+++ b/comfreywind/entry/bundle_loading.py
@@ -28,7 +28,7 @@
 
     Raises BundleError when the content is no bundle or does not have the digest.
     """
-    rules_view.note_accepted(offer.version)
+    rules_view.record_accepted_version(offer.version)
     if not is_newer_version(rules_view.read_version(), offer.version):
         return False
     source = f'bundle version {offer.version}'
--- a/comfreywind/entry/caller_app.py
+++ b/comfreywind/entry/caller_app.py
@@ -80,7 +80,7 @@
 
     async def _answer(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope['path'] == '/health/ready':
-            ready = self._readiness.find_refusal() is None and not self.leaving
+            ready = self._readiness.get_refusal() is None and not self.leaving
             await send_json(send, 200 if ready else 503, {'ready': ready})
             return
         request_id = find_header(scope['headers'], b'x-request-id') or uuid.uuid4().hex
@@ -134,7 +134,7 @@
     def _read_rules(self) -> Rules:
         if self.stopping:
             raise RefusalError(STOPPING)
-        refusal = self._readiness.find_refusal()
+        refusal = self._readiness.get_refusal()
         if refusal is not None:
             raise RefusalError(refusal)
         return self._rules_view.require_rules()
--- a/comfreywind/entry/claim.py
+++ b/comfreywind/entry/claim.py
@@ -1,4 +1,4 @@
-"""A claim that this entry holds."""
+"""A claim of an idempotency key that this entry holds."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,11 @@
 
 @dataclass(slots=True)
 class Claim:
-    """The right to run a request once; `version` is that of its row, None while in doubt."""
+    """The right to run a request once.
+
+    `claimed_at_s` is a Unix time. `version` is the version of the claim's row, None while it is
+    unconfirmed. `outcome` is None until the request has ended.
+    """
 
     row_key: str
     claim_id: str
--- a/comfreywind/entry/claim_asker.py
+++ b/comfreywind/entry/claim_asker.py
@@ -1,4 +1,4 @@
-"""Asks and answers questions between entries about claims."""
+"""Exchanges the outcomes of claimed requests between entries."""
 
 import uuid
 from collections.abc import Callable
@@ -15,28 +15,31 @@
 REPLY_TIMEOUT_S = 0.5
 
 
-class ClaimAsker:
-    """Exchanges `ClaimQuery` and `ClaimReply`; an owner that doesn't answer knows nothing."""
+class ClaimOutcomeExchange:
+    """Sends `ClaimQuery` to the owners of claims and answers the queries of other entries.
+
+    A query without a reply within `REPLY_TIMEOUT_S` counts as an unknown outcome.
+    """
 
     def __init__(self, hub: PeerHub, get_outcome: Callable[[str], Outcome | None]) -> None:
-        """Answer queries with `get_outcome`, which takes a claim id."""
+        """Subscribe to both messages; `get_outcome` maps a claim id to its outcome here."""
         self._hub = hub
-        self._find_outcome = get_outcome
+        self._get_outcome = get_outcome
         self._replies: dict[str, trio.MemorySendChannel[str]] = {}
-        hub.subscribe(ClaimQuery, self._answer)
-        hub.subscribe(ClaimReply, self._take_reply)
+        hub.subscribe(ClaimQuery, self._receive_query)
+        hub.subscribe(ClaimReply, self._receive_reply)
 
-    async def ask(self, row: ClaimRow) -> Outcome | None:
-        """Return the outcome that the owner of the row knows, or None."""
+    async def query_outcome(self, row: ClaimRow) -> Outcome | None:
+        """Return the outcome known to the entry that owns the claim, or None if it is unknown."""
         query_id = uuid.uuid4().hex
         send_reply, receive_reply = trio.open_memory_channel[str](1)
         self._replies[query_id] = send_reply
         try:
-            return await self._exchange(row, ClaimQuery(query_id, row.claim_id), receive_reply)
+            return await self._send_query(row, ClaimQuery(query_id, row.claim_id), receive_reply)
         finally:
             del self._replies[query_id]
 
-    async def _exchange(
+    async def _send_query(
         self, row: ClaimRow, query: ClaimQuery, receive_reply: trio.MemoryReceiveChannel[str]
     ) -> Outcome | None:
         text = ''
@@ -45,17 +48,17 @@
                 text = await receive_reply.receive()
         return _parse_outcome(text)
 
-    def _answer(self, sender: PeerIdentity, query: ClaimQuery) -> None:
-        outcome = self._find_outcome(query.claim_id)
+    def _receive_query(self, sender: PeerIdentity, query: ClaimQuery) -> None:
+        outcome = self._get_outcome(query.claim_id)
         text = '' if outcome is None else outcome.value
         self._hub.send(sender.name, ClaimReply(query.query_id, text))
 
-    def _take_reply(self, sender: PeerIdentity, reply: ClaimReply) -> None:
+    def _receive_reply(self, sender: PeerIdentity, reply: ClaimReply) -> None:
         send_reply = self._replies.get(reply.query_id)
         if send_reply is not None:
             send_reply.send_nowait(reply.outcome)
 
 
 def _parse_outcome(text: str) -> Outcome | None:
-    known = {outcome.value: outcome for outcome in Outcome}
-    return known.get(text)
+    outcomes_by_text = {outcome.value: outcome for outcome in Outcome}
+    return outcomes_by_text.get(text)
--- a/comfreywind/entry/claims.py
+++ b/comfreywind/entry/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: at most one run of each key in the whole fleet."""
+"""Claims idempotency keys, so that each key runs at most once in the whole fleet."""
 
 import uuid
 from functools import partial
@@ -20,7 +20,7 @@
 )
 from comfreywind.decisions.refusal import Outcome, Refusal, RefusalReason
 from comfreywind.entry.claim import Claim
-from comfreywind.entry.claim_asker import ClaimAsker
+from comfreywind.entry.claim_asker import ClaimOutcomeExchange
 from comfreywind.entry.grouped_writer import GroupedWriter
 from comfreywind.entry.refusal_error import RefusalError
 from comfreywind.entry.service_tasks import ServiceTasks
@@ -32,16 +32,16 @@
 from comfreywind.platform.table_client import TableClient
 from comfreywind.platform.table_names import TABLE_CLAIMS
 
-# Enough for one lost reply and the read after it; a longer outage is stated to the caller at once.
+# Covers one lost reply and the read that follows; after a longer outage the caller gets a refusal.
 CLAIM_WAIT_S = 5.0
-RETRY_PAUSE_S = 0.2
-SETTLE_PAUSE_S = 1.0
-DRAIN_POLL_S = 0.05
+READ_RETRY_PAUSE_S = 0.2
+END_RETRY_PAUSE_S = 1.0
+DRAIN_POLL_INTERVAL_S = 0.05
 RETRY_AFTER_S = 1.0
 
 
 class Claims:
-    """Claims keys in grouped transactions and writes their outcomes afterwards."""
+    """Claims keys in grouped transactions and writes the outcomes of their requests."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         retention_s: float,
         hub: PeerHub | None = None,
     ) -> None:
-        """Use the given parts; without a hub no other entry is asked about its claims."""
+        """Store claims with `tables`; without a hub, the owner of a claim can't be queried."""
         self._tables = tables
         self._identity = identity
         self._services = services
@@ -60,14 +60,18 @@
         self._retention_s = retention_s
         self._writer = GroupedWriter(tables)
         self._held: dict[str, Claim] = {}
-        self._asker = None if hub is None else ClaimAsker(hub, self.get_outcome)
+        self._exchange = None if hub is None else ClaimOutcomeExchange(hub, self.get_outcome)
 
     async def run(self) -> None:
-        """Send the grouped writes for ever."""
+        """Send the queued writes until cancelled."""
         await self._writer.run()
 
     async def claim(self, row_key: str, fingerprint: str, wait_s: float) -> Claim:
-        """Return the claim of the key; raise RefusalError when it is taken or can't be made."""
+        """Return a new claim of the key.
+
+        Raises RefusalError if the key is claimed already, or if the store doesn't confirm the claim
+        within `wait_s` or `CLAIM_WAIT_S`, whichever is shorter.
+        """
         now_s = self._clock.read_utc().timestamp()
         claim = Claim(row_key, uuid.uuid4().hex, fingerprint, now_s)
         self._held[claim.claim_id] = claim
@@ -75,33 +79,33 @@
         claimed = False
         try:
             with trio.move_on_after(min(wait_s, CLAIM_WAIT_S)):
-                refusal = await self._make(claim)
+                refusal = await self._acquire(claim)
                 claimed = refusal is None
         finally:
             if not claimed:
-                self._give_up(claim, sent=refusal is None)
+                self._abandon(claim, maybe_written=refusal is None)
         if not claimed:
-            raise RefusalError(refusal or _make_unavailable())
+            raise RefusalError(refusal or _make_unavailable_refusal())
         return claim
 
     async def drain(self, timeout_s: float) -> None:
-        """Wait until all ends of claims are written, but not longer than the timeout."""
+        """Wait until every claim is released or its outcome written, at most for the timeout."""
         with trio.move_on_after(timeout_s):
             while self._held:
-                await trio.sleep(DRAIN_POLL_S)
+                await trio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def finish(self, claim: Claim, outcome: Outcome) -> None:
-        """Release the claim of a request that has not run, or write its outcome, in background."""
+        """Write the outcome in the background, or release the claim if the request has not run."""
         claim.outcome = outcome
-        self._services.start(partial(self._settle, claim))
+        self._services.start(partial(self._write_end, claim))
 
     def get_outcome(self, claim_id: str) -> Outcome | None:
-        """Return the outcome of a claim held here, or None while it runs or is not known."""
+        """Return the outcome of a claim held here, or None if its request runs or it isn't held."""
         claim = self._held.get(claim_id)
         return None if claim is None else claim.outcome
 
-    async def _make(self, claim: Claim) -> Refusal | None:
-        """Return None once the claim is valid, or the refusal."""
+    async def _acquire(self, claim: Claim) -> Refusal | None:
+        """Write the claim and return None, or return the refusal if the key can't be claimed."""
         row: ClaimRow | None = None
         step = ClaimStep.WRITE
         while True:
@@ -109,17 +113,17 @@
                 condition = get_write_condition(row)
                 step = decide_after_write(await self._write(claim, condition))
             elif step is ClaimStep.READ:
-                row = await self._read_until_answered(claim)
+                row = await self._read_with_retries(claim)
                 step = self._decide_after_read(claim, row)
                 claim.version = None if row is None else row.version
             else:
-                return await self._conclude(claim, step, row)
+                return await self._get_refusal(claim, step, row)
 
     def _decide_after_read(self, claim: Claim, row: ClaimRow | None) -> ClaimStep:
         oldest_s = self._clock.read_utc().timestamp() - self._retention_s
         return decide_after_read(row, claim.claim_id, claim.fingerprint, oldest_s)
 
-    async def _conclude(
+    async def _get_refusal(
         self, claim: Claim, step: ClaimStep, row: ClaimRow | None
     ) -> Refusal | None:
         if step is ClaimStep.REJECT_OTHER_REQUEST:
@@ -128,7 +132,7 @@
             )
         if row is None or step is ClaimStep.RUN:
             return None
-        outcome = row.outcome or await self._ask_owner(row)
+        outcome = row.outcome or await self._query_owner(row)
         return Refusal(
             RefusalReason.CLAIM_EXISTS,
             f'the key was claimed by {row.entry}',
@@ -136,66 +140,73 @@
             retry_after_s=RETRY_AFTER_S if outcome in {None, Outcome.NOT_RUN} else None,
         )
 
-    async def _ask_owner(self, row: ClaimRow) -> Outcome | None:
+    async def _query_owner(self, row: ClaimRow) -> Outcome | None:
         if row.entry == self._identity.name:
             return self.get_outcome(row.claim_id)
-        return None if self._asker is None else await self._asker.ask(row)
+        return None if self._exchange is None else await self._exchange.query_outcome(row)
 
-    def _give_up(self, claim: Claim, sent: bool) -> None:
-        if sent:
+    def _abandon(self, claim: Claim, maybe_written: bool) -> None:
+        if maybe_written:
             self.finish(claim, Outcome.NOT_RUN)
         else:
             del self._held[claim.claim_id]
 
-    async def _settle(self, claim: Claim) -> None:
-        """Write the end of the claim until the row shows it."""
+    async def _write_end(self, claim: Claim) -> None:
+        """Release the claim or write its outcome, retrying until the row shows it."""
         end = decide_claim_end(claim.outcome or Outcome.UNKNOWN)
-        while not await self._try_settle(claim, end):
-            await trio.sleep(SETTLE_PAUSE_S)
+        while not await self._write_end_once(claim, end):
+            await trio.sleep(END_RETRY_PAUSE_S)
         del self._held[claim.claim_id]
 
-    async def _try_settle(self, claim: Claim, end: ClaimEnd) -> bool:
+    async def _write_end_once(self, claim: Claim, end: ClaimEnd) -> bool:
         try:
-            version = claim.version or await self._find_version(claim, end)
+            version = claim.version or await self._read_version(claim, end)
         except StoreUnavailableError:
             return False
         if version is None:
             return True
-        keep = end is ClaimEnd.WRITE_OUTCOME
+        writes_outcome = end is ClaimEnd.WRITE_OUTCOME
         write = RowWrite(
-            TABLE_CLAIMS, claim.row_key, version, self._make_fields(claim) if keep else None
+            TABLE_CLAIMS,
+            claim.row_key,
+            version,
+            self._make_row_fields(claim) if writes_outcome else None,
         )
-        ending, _ = await self._writer.write(write)
-        # The version is in doubt now; the next try reads the row.
+        result, _ = await self._writer.write(write)
+        # The version is unconfirmed after a conflict or lost reply; the next attempt reads the row.
         claim.version = None
-        return ending is WriteResult.DONE
+        return result is WriteResult.DONE
+
+    async def _read_version(self, claim: Claim, end: ClaimEnd) -> int | None:
+        """Return the version of the row, or None if the row needs no further write.
 
-    async def _find_version(self, claim: Claim, end: ClaimEnd) -> int | None:
-        await self._writer.wait_for_flight()
+        Waits first for the transaction in flight, which may carry a cancelled write of this claim.
+        """
+        await self._writer.wait_for_transaction()
         row = await self._read(claim)
         if row is None or is_end_resolved(end, row, claim.claim_id):
             return None
         return row.version
 
     async def _write(self, claim: Claim, condition: int) -> WriteResult:
-        fields = self._make_fields(claim)
+        fields = self._make_row_fields(claim)
         write = RowWrite(TABLE_CLAIMS, claim.row_key, condition, fields)
-        ending, version = await self._writer.write(write)
+        result, version = await self._writer.write(write)
         claim.version = version
-        return ending
+        return result
 
-    async def _read_until_answered(self, claim: Claim) -> ClaimRow | None:
+    async def _read_with_retries(self, claim: Claim) -> ClaimRow | None:
         while True:
             try:
                 return await self._read(claim)
             except StoreUnavailableError:
-                await trio.sleep(RETRY_PAUSE_S)
+                await trio.sleep(READ_RETRY_PAUSE_S)
 
     async def _read(self, claim: Claim) -> ClaimRow | None:
         row = await self._tables.read_row(TABLE_CLAIMS, claim.row_key)
         return None if row is None else parse_claim_row(row)
 
-    def _make_fields(self, claim: Claim) -> dict[str, Any]:
+    def _make_row_fields(self, claim: Claim) -> dict[str, Any]:
         return {
             'claim_id': claim.claim_id,
             'entry': self._identity.name,
@@ -207,7 +218,7 @@
 
 
 def parse_claim_row(row: Row) -> ClaimRow:
-    """Return the claim in a row of the table `claims`."""
+    """Parse a row of the table `claims`."""
     fields = row.value or {}
     outcome = fields['outcome']
     return ClaimRow(
@@ -221,7 +232,7 @@
     )
 
 
-def _make_unavailable() -> Refusal:
+def _make_unavailable_refusal() -> Refusal:
     return Refusal(
         RefusalReason.CLAIM_UNAVAILABLE,
         'the store did not confirm the claim in time',
--- a/comfreywind/entry/dispatcher.py
+++ b/comfreywind/entry/dispatcher.py
@@ -18,7 +18,7 @@
 )
 from comfreywind.entry.dispatch_policy import DispatchPolicy, SharesPolicy
 from comfreywind.entry.fleet_view import FleetView
-from comfreywind.entry.load_sums import group_outstanding, read_peer_loads
+from comfreywind.entry.load_sums import sum_outstanding_by_pool, parse_peer_loads
 from comfreywind.entry.placement import Placement
 from comfreywind.entry.pool_queue import PoolQueue
 from comfreywind.entry.refusal_error import RefusalError
@@ -165,12 +165,12 @@
         rules = self._rules_view.rules
         team_rules = rules.teams if rules else {}
         urgent_pools = self._list_urgent_pools()
-        outstanding = group_outstanding(reports, self._pool_by_target)
+        outstanding = sum_outstanding_by_pool(reports, self._pool_by_target)
         now_s = self._clock.read_monotonic_s()
         for name, pool in self._pools.items():
             pool.targets.expire_statements(now_s)
             pool.targets.replace_peer_loads(outstanding.get(name, NO_LOAD))
-            peer_loads = read_peer_loads(reports, name)
+            peer_loads = parse_peer_loads(reports, name)
             if pool.is_active or any(peer_loads.values()) or pool.plan.entitlements:
                 keeps_reserve = self._policy.keeps_reserve and name in urgent_pools
                 pool.renew_plan(
--- a/comfreywind/entry/feed.py
+++ b/comfreywind/entry/feed.py
@@ -48,7 +48,7 @@
             try:
                 await self.poll_once()
             except ComfreywindError as error:
-                self._rules_view.note_attempt(self._clock.read_monotonic_s())
+                self._rules_view.record_read_attempt(self._clock.read_monotonic_s())
                 log.warning("the change feed can't be read: %s", error)
             await trio.sleep(interval_s)
 
@@ -61,7 +61,7 @@
             await self._apply_row(row)
         self._control_view.apply_changes(changes)
         self._rules_view.sequence = changes.sequence
-        self._rules_view.confirm(started_s)
+        self._rules_view.record_store_read(started_s)
 
     async def _apply_row(self, row: Row) -> None:
         if row.table == TABLE_KEYS:
@@ -70,7 +70,7 @@
             await self._load_bundle(row.value['version'], row.value['digest'])
 
     async def _load_bundle(self, version: int, digest: str) -> None:
-        self._rules_view.note_accepted(version)
+        self._rules_view.record_accepted_version(version)
         if not is_newer_version(self._rules_view.read_version(), version):
             return
         try:
--- a/comfreywind/entry/fleet_view.py
+++ b/comfreywind/entry/fleet_view.py
@@ -62,7 +62,7 @@
         row = self._rows.get(name)
         return None if row is None or row.value is None else row
 
-    def find_pool(self, vm: VmEntry) -> str:
+    def get_pool(self, vm: VmEntry) -> str:
         """Return the pool that the VM belongs to."""
         row = self.read_row(vm.name)
         return vm.pool if row is None or row.value is None else str(row.value['pool'])
@@ -76,14 +76,14 @@
         outlier ejection).
         """
         return _select_usable(
-            [(vm, self._read_state(vm)) for vm in self._list_live() if self.find_pool(vm) == pool]
+            [(vm, self._read_state(vm)) for vm in self._list_live() if self.get_pool(vm) == pool]
         )
 
     def group_usable(self) -> dict[str, list[VmEntry]]:
         """Return the VMs that take new work by pool, chosen as `list_usable` does."""
         groups: dict[str, list[tuple[VmEntry, str]]] = {}
         for vm in self._list_live():
-            groups.setdefault(self.find_pool(vm), []).append((vm, self._read_state(vm)))
+            groups.setdefault(self.get_pool(vm), []).append((vm, self._read_state(vm)))
         return {pool: _select_usable(vms) for pool, vms in groups.items()}
 
     def _apply_row(self, row: Row) -> bool:
--- a/comfreywind/entry/forwarder.py
+++ b/comfreywind/entry/forwarder.py
@@ -6,7 +6,7 @@
 from comfreywind.entry.caller_request import CallerRequest
 from comfreywind.entry.claim import Claim
 from comfreywind.entry.claims import Claims
-from comfreywind.entry.idempotency_key import find_fingerprint
+from comfreywind.entry.idempotency_key import compute_fingerprint
 from comfreywind.entry.request_run import RequestRun
 from comfreywind.entry.target_answer import TargetAnswer
 from comfreywind.entry.target_caller import TargetCaller
@@ -57,7 +57,7 @@
         if request.idempotent or not request.idempotency_key:
             return None
         row_key = f'{request.team}/{request.idempotency_key}'
-        fingerprint = find_fingerprint(request, queue.name)
+        fingerprint = compute_fingerprint(request, queue.name)
         return await self._claims.claim(row_key, fingerprint, self._find_time_left_s(request))
 
     def _find_time_left_s(self, request: CallerRequest) -> float:
--- a/comfreywind/entry/load_sums.py
+++ b/comfreywind/entry/load_sums.py
@@ -7,7 +7,7 @@
 from comfreywind.peers.messages.load_report import LoadReport
 
 
-def group_outstanding(
+def sum_outstanding_by_pool(
     reports: Mapping[str, LoadReport], pool_by_target: Mapping[str, str]
 ) -> dict[str, dict[str, int]]:
     """Return the requests of all peers at each target, by pool."""
@@ -20,7 +20,9 @@
     return groups
 
 
-def read_peer_loads(reports: Mapping[str, LoadReport], pool: str) -> dict[str, dict[str, TeamLoad]]:
+def parse_peer_loads(
+    reports: Mapping[str, LoadReport], pool: str
+) -> dict[str, dict[str, TeamLoad]]:
     """Return the load of each team in the pool by peer."""
     return {
         peer: {team: TeamLoad(*counts) for team, counts in report.loads.get(pool, {}).items()}
--- a/comfreywind/entry/operator_app.py
+++ b/comfreywind/entry/operator_app.py
@@ -192,7 +192,7 @@
         fields = self._control_view.read_fields(TABLE_VMS, vm.name)
         return {
             'name': vm.name,
-            'pool': self._fleet_view.find_pool(vm),
+            'pool': self._fleet_view.get_pool(vm),
             'state': fields.get('state', 'no row'),
             'home_pool': fields.get('home_pool', vm.pool),
             'move_to': fields.get('move_to'),
--- a/comfreywind/entry/propagation.py
+++ b/comfreywind/entry/propagation.py
@@ -16,7 +16,7 @@
 from comfreywind.entry.bundle_loading import JSON_ERRORS, apply_offer
 from comfreywind.entry.fleet_view import FleetView
 from comfreywind.entry.rules_view import RulesView
-from comfreywind.entry.view_parts import make_view_parts, read_keys, read_rows, read_vms
+from comfreywind.entry.view_parts import make_view_messages, parse_keys, parse_rows, parse_vms
 from comfreywind.errors import PeerError
 from comfreywind.peers.messages.bundle_offer import BundleOffer
 from comfreywind.peers.messages.heartbeat import Heartbeat
@@ -102,12 +102,12 @@
             self._pass_on(change, sender.name)
 
     def _receive_request(self, sender: PeerIdentity, request: ViewRequest) -> None:
-        for part in make_view_parts(request, self._rules_view, self._fleet_view):
+        for part in make_view_messages(request, self._rules_view, self._fleet_view):
             if not self._hub.send(sender.name, part):
                 return
 
     def _receive_key_list(self, sender: PeerIdentity, message: KeyList) -> None:
-        for key in read_keys(message):
+        for key in parse_keys(message):
             self._rules_view.apply_key(key)
         _remember(self._merged_keys, message.keys_digest)
 
@@ -123,7 +123,7 @@
             self._fleet_view.apply_vm_list(self._incoming_vms)
 
     def _receive_heartbeat(self, sender: PeerIdentity, heartbeat: Heartbeat) -> None:
-        self._rules_view.note_accepted(heartbeat.accepted_version)
+        self._rules_view.record_accepted_version(heartbeat.accepted_version)
         if self._misses_store():
             self._update_by_peers(sender, heartbeat)
 
@@ -146,7 +146,7 @@
             self._clock.read_monotonic_s() - self._timings.fresh_s,
         )
         if confirmed_s is not None:
-            self._rules_view.confirm_by_peers(confirmed_s)
+            self._rules_view.record_peer_confirmation(confirmed_s)
 
     def _raise_view_sequence(self, heartbeat: Heartbeat) -> None:
         self._rules_view.view_sequence = max(self._rules_view.view_sequence, heartbeat.sequence)
@@ -220,13 +220,13 @@
 
 def _read_rows(message: VmRowList) -> list[Row]:
     try:
-        return list(read_rows(message, TABLE_VMS))
+        return list(parse_rows(message, TABLE_VMS))
     except JSON_ERRORS as error:
         raise PeerError(f'a malformed VmRowList: {error}') from error
 
 
 def _read_vms(message: VmList) -> list[VmEntry]:
     try:
-        return list(read_vms(message))
+        return list(parse_vms(message))
     except ValueError as error:
         raise PeerError(f'a malformed VmList: {error}') from error
--- a/comfreywind/entry/readiness.py
+++ b/comfreywind/entry/readiness.py
@@ -24,7 +24,7 @@
         self._units = units
         self._dispatcher = dispatcher
 
-    def find_refusal(self) -> Refusal | None:
+    def get_refusal(self) -> Refusal | None:
         """Return the refusal that every request gets now, or None when the entry is ready."""
         reason = self._find_reason()
         return None if reason is None else Refusal(reason, DETAIL, retry_after_s=RETRY_AFTER_S)
@@ -32,7 +32,7 @@
     async def run(self, interval_s: float) -> None:
         """Check in a fixed period for ever."""
         while True:
-            refusal = self.find_refusal()
+            refusal = self.get_refusal()
             if refusal is not None:
                 self._dispatcher.refuse_waiting(refusal)
             await trio.sleep(interval_s)
--- a/comfreywind/entry/rules_view.py
+++ b/comfreywind/entry/rules_view.py
@@ -54,12 +54,12 @@
             return False
         self.rules = rules
         self.offer = offer
-        self.note_accepted(rules.version)
+        self.record_accepted_version(rules.version)
         for receive_change in self._listeners:
             receive_change()
         return True
 
-    def note_accepted(self, version: int) -> None:
+    def record_accepted_version(self, version: int) -> None:
         """Note that a version is accepted, even if its content is not known here."""
         self.accepted_version = max(self.accepted_version, version)
 
@@ -75,20 +75,20 @@
         self.keys[key.key_id] = key
         return True
 
-    def confirm(self, at_s: float) -> None:
+    def record_store_read(self, at_s: float) -> None:
         """Note that the view was complete at this monotonic time, as read from the store."""
         if self._store_confirmed_s is None or at_s > self._store_confirmed_s:
             self._store_confirmed_s = at_s
-        self.note_attempt(at_s)
+        self.record_read_attempt(at_s)
         self.view_sequence = max(self.view_sequence, self.sequence)
-        self.confirm_by_peers(at_s)
+        self.record_peer_confirmation(at_s)
 
-    def note_attempt(self, at_s: float) -> None:
+    def record_read_attempt(self, at_s: float) -> None:
         """Note that an attempt to read the store had failed by this monotonic time."""
         if self._attempted_s is None or at_s > self._attempted_s:
             self._attempted_s = at_s
 
-    def confirm_by_peers(self, at_s: float) -> None:
+    def record_peer_confirmation(self, at_s: float) -> None:
         """Note that the view was complete at this monotonic time, as confirmed by peers."""
         if self._confirmed_s is None or at_s > self._confirmed_s:
             self._confirmed_s = at_s
--- a/comfreywind/entry/run.py
+++ b/comfreywind/entry/run.py
@@ -4,9 +4,12 @@
 
 import trio
 
-from comfreywind.entry.assembly.core_parts import CoreParts, make_core_parts
-from comfreywind.entry.assembly.operating_parts import OperatingParts, make_operating_parts
-from comfreywind.entry.assembly.serving_parts import ServingParts, make_serving_parts
+from comfreywind.entry.assembly.core_parts import CoreComponents, make_core_components
+from comfreywind.entry.assembly.operating_parts import (
+    OperatingComponents,
+    make_operating_components,
+)
+from comfreywind.entry.assembly.serving_parts import ServingComponents, make_serving_components
 from comfreywind.entry.graceful_stop import stop_serving
 from comfreywind.entry.target_upkeep import maintain_targets
 from comfreywind.entry.vm_list_poller import poll_vm_list
@@ -19,9 +22,9 @@
 async def run_entry(settings: EntrySettings) -> None:
     """Serve callers and operators until the process is told to end, then drain."""
     configure_logs(settings.log_format)
-    core = make_core_parts(settings)
-    serving = make_serving_parts(core)
-    operating = make_operating_parts(core, serving)
+    core = make_core_components(settings)
+    serving = make_serving_components(core)
+    operating = make_operating_components(core, serving)
     termination = trio.Event()
     async with trio.open_nursery() as nursery:
         await nursery.start(set_on_termination, termination)
@@ -34,7 +37,9 @@
         nursery.cancel_scope.cancel()
 
 
-def start_serving_tasks(nursery: trio.Nursery, core: CoreParts, serving: ServingParts) -> None:
+def start_serving_tasks(
+    nursery: trio.Nursery, core: CoreComponents, serving: ServingComponents
+) -> None:
     """Start the tasks behind the callers' side."""
     heartbeat_interval_s = core.settings.timings.heartbeat_interval_s
     nursery.start_soon(serving.claims.run)
@@ -45,7 +50,7 @@
 
 
 def start_operating_tasks(
-    nursery: trio.Nursery, core: CoreParts, operating: OperatingParts
+    nursery: trio.Nursery, core: CoreComponents, operating: OperatingComponents
 ) -> None:
     """Start the tasks that follow the platform, do control work and report."""
     timings = core.settings.timings
@@ -59,7 +64,10 @@
 
 
 async def serve_until(
-    termination: trio.Event, core: CoreParts, serving: ServingParts, operating: OperatingParts
+    termination: trio.Event,
+    core: CoreComponents,
+    serving: ServingComponents,
+    operating: OperatingComponents,
 ) -> None:
     """Serve both sides; after the termination finish what is in flight and return the portions."""
     settings = core.settings
@@ -78,7 +86,9 @@
         shutdown.set()
 
 
-async def finish_writes(core: CoreParts, serving: ServingParts, operating: OperatingParts) -> None:
+async def finish_writes(
+    core: CoreComponents, serving: ServingComponents, operating: OperatingComponents
+) -> None:
     """Write outcomes of claims and the last decisions, within the platform timeout each."""
     timeout_s = core.settings.timings.platform_timeout_s
     await serving.claims.drain(timeout_s)
--- a/comfreywind/entry/view_parts.py
+++ b/comfreywind/entry/view_parts.py
@@ -22,7 +22,7 @@
 RowType = TypeVar('RowType')
 
 
-def make_view_parts(
+def make_view_messages(
     request: ViewRequest, rules_view: RulesView, fleet_view: FleetView
 ) -> Iterator[PeerMessage]:
     """Yield what the asking peer lacks or wants."""
@@ -37,18 +37,18 @@
         yield from _make_vm_lists(fleet_view)
 
 
-def read_keys(message: KeyList) -> Iterator[TeamKey]:
+def parse_keys(message: KeyList) -> Iterator[TeamKey]:
     """Yield the keys in a part."""
     return (TeamKey(*fields) for fields in message.keys)
 
 
-def read_rows(message: VmRowList, table: str) -> Iterator[Row]:
+def parse_rows(message: VmRowList, table: str) -> Iterator[Row]:
     """Yield the rows in a part; raise ValueError for a value that is not JSON."""
     for key, version, value_text in message.rows:
         yield Row(table, key, version, json.loads(value_text))
 
 
-def read_vms(message: VmList) -> Iterator[VmEntry]:
+def parse_vms(message: VmList) -> Iterator[VmEntry]:
     """Yield the VMs in a part; raise ValueError for a malformed address."""
     for name, address, data_centre, rack, pool, state, incarnation in message.vms:
         yield VmEntry(
--- a/tests/compatibility/test_kept_rows.py
+++ b/tests/compatibility/test_kept_rows.py
@@ -53,7 +53,7 @@
 from comfreywind.entry.refusal_error import RefusalError
 from comfreywind.entry.rules_view import RulesView
 from comfreywind.entry.service_tasks import ServiceTasks
-from comfreywind.entry.view_parts import make_view_parts
+from comfreywind.entry.view_parts import make_view_messages
 from comfreywind.jobs import tables as job_tables
 from comfreywind.jobs.ended_job import EndedJob
 from comfreywind.jobs.job_codec import (
@@ -523,7 +523,7 @@
     teams = [find_team(rules_view.keys, f'Bearer {text}') for text in KEPT['store']['keys']]
     assert (rules_view.read_version(), teams) == (1, ['rosters', None])
     request = list_message_types()['ViewRequest'](0, 0, 0, False)  # type: ignore[call-arg]
-    parts = make_view_parts(request, rules_view, fleet_view)  # type: ignore[arg-type]
+    parts = make_view_messages(request, rules_view, fleet_view)  # type: ignore[arg-type]
     assert [make_codec().encode(part).hex() for part in parts] == KEPT['store']['view_frames']
 
 
--- a/tests/peers/test_view_parts.py
+++ b/tests/peers/test_view_parts.py
@@ -8,10 +8,10 @@
 from comfreywind.entry.rules_view import RulesView
 from comfreywind.entry.view_parts import (
     ROWS_PER_MESSAGE,
-    make_view_parts,
-    read_keys,
-    read_rows,
-    read_vms,
+    make_view_messages,
+    parse_keys,
+    parse_rows,
+    parse_vms,
 )
 from comfreywind.peers.frame_reader import FRAME_HEADER
 from comfreywind.peers.message_codec import MessageCodec
@@ -40,13 +40,13 @@
     fleet_view.apply_vm_list([replace(vm, name=f'crossings-{index}') for index in range(COUNT)])
     parts = send_parts(ViewRequest(0, 0, 0, wants_vm_list=True), rules_view, fleet_view)
     new_rules, new_fleet = RulesView(ManualClock(), 4), FleetView()
-    for key in chain.from_iterable(read_keys(part) for part in parts if type(part) is KeyList):
+    for key in chain.from_iterable(parse_keys(part) for part in parts if type(part) is KeyList):
         new_rules.apply_key(key)
     for row in chain.from_iterable(
-        read_rows(part, 'vms') for part in parts if type(part) is VmRowList
+        parse_rows(part, 'vms') for part in parts if type(part) is VmRowList
     ):
         new_fleet.apply_vm_rows([row])
-    vms = list(chain.from_iterable(read_vms(part) for part in parts if type(part) is VmList))
+    vms = list(chain.from_iterable(parse_vms(part) for part in parts if type(part) is VmList))
     assert new_rules.keys == rules_view.keys
     assert new_rules.keys_digest == rules_view.keys_digest
     assert new_fleet.list_rows() == fleet_view.list_rows()
@@ -61,7 +61,7 @@
     codec = MessageCodec()
     for message_type in (KeyList, VmRowList, VmList):
         codec.add_type(message_type)
-    parts = make_view_parts(request, rules_view, fleet_view)
+    parts = make_view_messages(request, rules_view, fleet_view)
     return [codec.decode(codec.encode(part)[FRAME_HEADER.size :]) for part in parts]
 
 
@@ -70,4 +70,4 @@
     rules_view, fleet_view = RulesView(ManualClock(), 4), FleetView()
     rules_view.apply_key(TeamKey('a', 'timetables', '0' * 64, withdrawn=False, row_version=1))
     request = ViewRequest(0, rules_view.keys_digest, fleet_view.rows_digest, wants_vm_list=False)
-    assert not list(make_view_parts(request, rules_view, fleet_view))
+    assert not list(make_view_messages(request, rules_view, fleet_view))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -22,33 +22,33 @@
 
 
 @dataclass(slots=True)
-class Rig:
+class Harness:
     """Two entries with one store."""
 
     tables: MemoryTables = field(default_factory=MemoryTables)
     clock: ManualClock = field(default_factory=ManualClock)
     entries: list[Claims] = field(default_factory=list)
 
-    async def wait_settled(self) -> None:
-        """Wait until every end of a claim is written."""
+    async def drain(self) -> None:
+        """Wait until every claim is released or its outcome written."""
         for entry in self.entries:
             await entry.drain(10)
 
 
 @asynccontextmanager
-async def run_entries() -> AsyncIterator[Rig]:
-    """Run two entries; the trio clock jumps ahead when nothing else is to do."""
-    rig = Rig()
+async def run_entries() -> AsyncIterator[Harness]:
+    """Run two entries; the autojump clock skips the time in which all tasks wait."""
+    harness = Harness()
     network: dict[str, FakeHub] = {}
     async with trio.open_nursery() as nursery:
         for name in ('entry-0', 'entry-1'):
             hub = FakeHub(name, network)
             services = ServiceTasks()
             await nursery.start(services.run)
-            claims = Claims(rig.tables, hub.identity, services, rig.clock, RETENTION_S, hub)  # type: ignore[arg-type]
+            claims = Claims(harness.tables, hub.identity, services, harness.clock, RETENTION_S, hub)  # type: ignore[arg-type]
             nursery.start_soon(claims.run)
-            rig.entries.append(claims)
-        yield rig
+            harness.entries.append(claims)
+        yield harness
         nursery.cancel_scope.cancel()
 
 
@@ -82,94 +82,97 @@
     entry: int,
     expected: tuple[str, str],
 ) -> None:
-    """Guards against a second run of a key, or a repeat that is told the wrong outcome."""
-    async with run_entries() as rig:
-        claim = await try_claim(rig.entries[0])
+    """A repeated key is refused with the outcome of the first request, by either entry."""
+    async with run_entries() as harness:
+        claim = await try_claim(harness.entries[0])
         assert isinstance(claim, Claim)
         if outcome is not None:
-            rig.entries[0].finish(claim, outcome)
-            await rig.wait_settled()
-        assert describe(await try_claim(rig.entries[entry])) == expected
+            harness.entries[0].finish(claim, outcome)
+            await harness.drain()
+        assert describe(await try_claim(harness.entries[entry])) == expected
 
 
 async def test_owner_is_asked(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a repeat that is not told what the owner knows but has not written yet."""
-    async with run_entries() as rig:
-        claim = await try_claim(rig.entries[0])
+    """A repeat gets the outcome that the owning entry knows but has not written to the row yet."""
+    async with run_entries() as harness:
+        claim = await try_claim(harness.entries[0])
         assert isinstance(claim, Claim)
         claim.outcome = Outcome.ANSWERED
-        assert describe(await try_claim(rig.entries[1])) == ('claim-exists', 'answered')
+        assert describe(await try_claim(harness.entries[1])) == ('claim-exists', 'answered')
 
 
 async def test_other_request(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a key that is taken over by a request with another path or body."""
-    async with run_entries() as rig:
-        await try_claim(rig.entries[0])
-        refused = await try_claim(rig.entries[1], fingerprint='g')
-        assert describe(refused) == ('idempotency-key-reused', 'not-run')
+    """A request with another path or body can't reuse the key of an earlier request."""
+    async with run_entries() as harness:
+        await try_claim(harness.entries[0])
+        refusal = await try_claim(harness.entries[1], fingerprint='g')
+        assert describe(refusal) == ('idempotency-key-reused', 'not-run')
 
 
 async def test_release(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a key that stays taken although its request has not run."""
-    async with run_entries() as rig:
-        claim = await try_claim(rig.entries[0])
+    """A key whose request has not run can be claimed again, even if the release got no reply."""
+    async with run_entries() as harness:
+        claim = await try_claim(harness.entries[0])
         assert isinstance(claim, Claim)
-        rig.tables.lose_replies = 1
-        rig.entries[0].finish(claim, Outcome.NOT_RUN)
-        await rig.wait_settled()
-        assert isinstance(await try_claim(rig.entries[1]), Claim)
+        harness.tables.lose_replies = 1
+        harness.entries[0].finish(claim, Outcome.NOT_RUN)
+        await harness.drain()
+        assert isinstance(await try_claim(harness.entries[1]), Claim)
 
 
 async def test_lost_reply(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a claim refused, or granted twice, when the reply to its write is lost."""
-    async with run_entries() as rig:
-        rig.tables.lose_replies = 1
-        claim = await try_claim(rig.entries[0])
+    """A claim whose write got no reply is granted exactly once, and its outcome is written."""
+    async with run_entries() as harness:
+        harness.tables.lose_replies = 1
+        claim = await try_claim(harness.entries[0])
         assert isinstance(claim, Claim)
-        assert describe(await try_claim(rig.entries[1])) == ('claim-exists', 'unknown')
-        rig.tables.lose_replies = 1
-        rig.entries[0].finish(claim, Outcome.ANSWERED)
-        await rig.wait_settled()
-        assert describe(await try_claim(rig.entries[1])) == ('claim-exists', 'answered')
+        assert describe(await try_claim(harness.entries[1])) == ('claim-exists', 'unknown')
+        harness.tables.lose_replies = 1
+        harness.entries[0].finish(claim, Outcome.ANSWERED)
+        await harness.drain()
+        assert describe(await try_claim(harness.entries[1])) == ('claim-exists', 'answered')
 
 
 async def test_store_down(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a run without a claim, and a claim that is left behind after a refusal."""
-    async with run_entries() as rig:
-        rig.tables.down = True
-        assert describe(await try_claim(rig.entries[0])) == ('claim-unavailable', 'not-run')
-        rig.tables.down = False
-        await rig.wait_settled()
-        assert rig.tables.store.read_row(TABLE_CLAIMS, KEY) is None
+    """A request is refused while the store is down, and no row is left behind afterwards."""
+    async with run_entries() as harness:
+        harness.tables.down = True
+        assert describe(await try_claim(harness.entries[0])) == ('claim-unavailable', 'not-run')
+        harness.tables.down = False
+        await harness.drain()
+        assert harness.tables.store.read_row(TABLE_CLAIMS, KEY) is None
 
 
 async def test_given_up_claim_is_released(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a claim that lands after its request was refused, and stays for ever."""
-    async with run_entries() as rig:
-        rig.tables.latency_s = 6
-        assert describe(await try_claim(rig.entries[0])) == ('claim-unavailable', 'not-run')
-        rig.tables.latency_s = 0.001
-        await rig.entries[0].drain(60)
-        assert rig.tables.store.read_row(TABLE_CLAIMS, KEY) is None
+    """A claim is released if its write takes effect after the request was refused.
+
+    The store needs 6 s for the write, longer than a request waits for its claim.
+    """
+    async with run_entries() as harness:
+        harness.tables.latency_s = 6
+        assert describe(await try_claim(harness.entries[0])) == ('claim-unavailable', 'not-run')
+        harness.tables.latency_s = 0.001
+        await harness.entries[0].drain(60)
+        assert harness.tables.store.read_row(TABLE_CLAIMS, KEY) is None
 
 
 async def test_expired_claim(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a key that can never be used again."""
-    async with run_entries() as rig:
-        await try_claim(rig.entries[0])
-        rig.clock.advance(RETENTION_S + 1)
-        results = [await try_claim(entry) for entry in rig.entries]
+    """After the retention time a key can be claimed again, by one entry only."""
+    async with run_entries() as harness:
+        await try_claim(harness.entries[0])
+        harness.clock.advance(RETENTION_S + 1)
+        results = [await try_claim(entry) for entry in harness.entries]
         assert isinstance(results[0], Claim)
         assert describe(results[1]) == ('claim-exists', 'unknown')
 
 
 async def test_many_at_once(autojump_clock: trio.testing.MockClock) -> None:
-    """Guards against a write per claim, and against one key granted twice within a group."""
-    async with run_entries() as rig:
+    """800 concurrent claims of 200 keys grant each key once and take less than 100 transactions."""
+    async with run_entries() as harness:
         results: list[Claim | Refusal] = []
 
         async def claim(index: int) -> None:
-            entry = rig.entries[index % 2]
+            entry = harness.entries[index % 2]
             results.append(await try_claim(entry, f'rosters/{index // 4}'))
 
         async with trio.open_nursery() as nursery:
@@ -177,5 +180,5 @@
                 nursery.start_soon(claim, index)
         assert sum(isinstance(result, Claim) for result in results) == 200
         assert len(results) == 800
-        assert max(rig.tables.group_sizes) <= 64
-        assert len(rig.tables.group_sizes) < 100
+        assert max(harness.tables.group_sizes) <= 64
+        assert len(harness.tables.group_sizes) < 100
