--- a/comfreywind/entry/assembly/__init__.py
+++ b/comfreywind/entry/assembly/__init__.py
@@ -1,1 +1,1 @@
-"""Builds the parts of an entry process from its settings."""
+"""Builds the components of an entry process from its settings."""
--- a/comfreywind/entry/assembly/core_parts.py
+++ b/comfreywind/entry/assembly/core_parts.py
@@ -1,4 +1,4 @@
-"""Clients, views and the hub, which all other parts of an entry use."""
+"""Components that all others of an entry use: clients, views and the hub."""
 
 from dataclasses import dataclass
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreComponents:
-    """What most parts need."""
+    """The settings, clock, clients, views, decision log and hub of an entry."""
 
     settings: EntrySettings
     clock: Clock
@@ -36,7 +36,7 @@
 
 
 def make_core_components(settings: EntrySettings) -> CoreComponents:
-    """Return the core parts; nothing is connected yet."""
+    """Build the core components without opening connections."""
     clock = SystemClock()
     client = HttpClient(settings.platform_address, settings.timings.platform_timeout_s)
     return CoreComponents(
@@ -54,7 +54,7 @@
 
 
 def _make_hub(settings: EntrySettings, clock: Clock) -> StreamHub:
-    """Return the hub of this process; its incarnation is the wall time in nanoseconds."""
+    """Build the hub; the incarnation of the process is its start as Unix time in nanoseconds."""
     incarnation = int(clock.read_utc().timestamp() * NANOSECONDS_PER_S)
     timings = settings.timings
     limits = StreamLimits(
--- a/comfreywind/entry/assembly/operating_parts.py
+++ b/comfreywind/entry/assembly/operating_parts.py
@@ -1,4 +1,4 @@
-"""The parts that follow the platform, do control work, report, and serve operators."""
+"""Components that poll the platform, control the pools, report, and serve operators."""
 
 from dataclasses import dataclass
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatingComponents:
-    """Feed, control, reports and the operators' side."""
+    """Change feed, control, reports and the app for operators."""
 
     feed: Feed
     control: ControlTask
@@ -37,10 +37,10 @@
 def make_operating_components(
     core: CoreComponents, serving: ServingComponents
 ) -> OperatingComponents:
-    """Return the parts that operate the entry."""
+    """Build the components that operate the entry."""
     settings = core.settings
     recorder = ResultRecorder(core.clock)
-    summaries = SummaryStore(core.tables, core.objects, _name_process(core))
+    summaries = SummaryStore(core.tables, core.objects, _make_process_name(core))
     decision_store = DecisionStore(settings.name, core.decisions, core.tables, core.objects)
     propagation = Propagation(
         core.hub,
@@ -104,6 +104,6 @@
     )
 
 
-def _name_process(core: CoreComponents) -> str:
-    """Return a name that no other process of this entry has had."""
+def _make_process_name(core: CoreComponents) -> str:
+    """Return a name that is unique among all processes of this entry."""
     return f'{core.settings.name}-{core.hub.identity.incarnation}'
--- a/comfreywind/entry/assembly/serving_parts.py
+++ b/comfreywind/entry/assembly/serving_parts.py
@@ -1,4 +1,4 @@
-"""The parts that serve callers."""
+"""Components that serve callers."""
 
 from dataclasses import dataclass
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServingComponents:
-    """The callers' side and what places and sends its requests."""
+    """The app for callers and what queues, places and forwards its requests."""
 
     units: RunnableUnits
     health: TargetHealth
@@ -34,7 +34,7 @@
 
 
 def make_serving_components(core: CoreComponents) -> ServingComponents:
-    """Return the parts that serve callers."""
+    """Build the components that serve callers and set the source of the heartbeats."""
     settings = core.settings
     units = make_units(settings, core.hub, core.tables, core.rules_view, core.clock, core.decisions)
     health = TargetHealth(core.fleet_view, core.clock, core.decisions)
--- a/comfreywind/entry/bundle_loading.py
+++ b/comfreywind/entry/bundle_loading.py
@@ -1,4 +1,4 @@
-"""Puts the content of an accepted bundle version into force on this entry."""
+"""Puts accepted bundle versions into force on this entry."""
 
 import json
 import logging
@@ -10,23 +10,23 @@
 from comfreywind.errors import BundleError
 from comfreywind.peers.messages.bundle_offer import BundleOffer
 
-# Text that nests too deeply makes the parser raise RecursionError.
+# The parser raises RecursionError for text that is nested too deeply.
 JSON_ERRORS = (ValueError, RecursionError)
 
 log = logging.getLogger('comfreywind.rules')
 
 
 def make_offer(version: int, digest: str, document: object) -> BundleOffer:
-    """Return the offer of an accepted version; raise BundleError for another content."""
+    """Return the offer of an accepted version; raise BundleError if the digest doesn't match."""
     if compute_digest(document) != digest:
         raise BundleError(f'bundle version {version}: the content does not have digest {digest}')
     return BundleOffer(version, digest, json.dumps(document, separators=(',', ':')))
 
 
 def apply_offer(rules_view: RulesView, offer: BundleOffer) -> bool:
-    """Put a version into force if it is higher than the present one, and return whether it is.
+    """Put the version into force if it is higher than the current one, and return whether it is.
 
-    Raises BundleError when the content is no bundle or does not have the digest.
+    Raises BundleError if the content is not a valid bundle or doesn't match the digest.
     """
     rules_view.record_accepted_version(offer.version)
     if not is_newer_version(rules_view.read_version(), offer.version):
--- a/comfreywind/entry/confirmations.py
+++ b/comfreywind/entry/confirmations.py
@@ -1,4 +1,4 @@
-"""Waits until the members have confirmed a change."""
+"""Waits until the other members confirm that a change is in force."""
 
 from collections.abc import Callable
 
@@ -15,23 +15,24 @@
 
 
 class Confirmations:
-    """Tells from the heartbeats which members have a change in force."""
+    """Reads from the heartbeats which members have a change in force."""
 
     def __init__(self, hub: PeerHub, rules_view: RulesView, clock: Clock, wait_s: float) -> None:
-        """Wait for at most `wait_s` seconds."""
+        """Let each wait take at most `wait_s` seconds."""
         self._hub = hub
         self._rules_view = rules_view
         self._clock = clock
         self._wait_s = wait_s
 
     async def wait_for_bundle(self, version: int) -> ConfirmationLists:
-        """Return the names of the other members with and without the version or a higher one."""
+        """Return which other members have confirmed this or a higher version, and which haven't."""
         return await self._wait(lambda heartbeat: heartbeat.bundle_version >= version)
 
     async def wait_for_keys(self) -> ConfirmationLists:
-        """Return the names of the other members with and without the keys known here now.
+        """Return which other members have confirmed the keys known here, and which have not.
 
-        Another change during the wait changes the digest, so each digest seen here counts.
+        Another change of a key during the wait changes the digest, so a member counts as soon as it
+        reports any digest that this entry has had since the start of the wait.
         """
         digests = set()
 
@@ -45,13 +46,13 @@
         deadline_s = self._clock.read_monotonic_s() + self._wait_s
         confirmed: set[str] = set()
         while True:
-            confirmed |= self._list_confirmed(is_confirmed)
+            confirmed |= self._collect_confirmed(is_confirmed)
             missing = set(self._hub.list_members()) - confirmed
             if not missing or self._clock.read_monotonic_s() >= deadline_s:
                 return {'confirmed': sorted(confirmed), 'unconfirmed': sorted(missing)}
             await trio.sleep(POLL_INTERVAL_S)
 
-    def _list_confirmed(self, is_confirmed: IsConfirmed) -> set[str]:
+    def _collect_confirmed(self, is_confirmed: IsConfirmed) -> set[str]:
         members = self._hub.list_members()
         return {
             state.identity.name
--- a/comfreywind/entry/feed.py
+++ b/comfreywind/entry/feed.py
@@ -1,4 +1,4 @@
-"""Follows the platform's change feed."""
+"""Polls the platform's change feed."""
 
 import logging
 
@@ -23,7 +23,7 @@
 
 
 class Feed:
-    """Reads changes in a fixed period and applies them to the views of this entry."""
+    """Polls for changes at a fixed interval and applies them to the views of this entry."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         clock: Clock,
         control_view: ControlView | None = None,
     ) -> None:
-        """Use the given clients and views."""
+        """Poll with `tables`; `objects` holds the content of the bundle versions."""
         self._tables = tables
         self._objects = objects
         self._rules_view = rules_view
@@ -43,13 +43,13 @@
         self._control_view = control_view or ControlView(clock)
 
     async def run(self, interval_s: float) -> None:
-        """Poll for ever; a failed read leaves the views as they are."""
+        """Poll until cancelled; a failed poll is retried after the interval."""
         while True:
             try:
                 await self.poll_once()
             except ComfreywindError as error:
                 self._rules_view.record_read_attempt(self._clock.read_monotonic_s())
-                log.warning("the change feed can't be read: %s", error)
+                log.warning("can't poll the change feed, retrying: %s", error)
             await trio.sleep(interval_s)
 
     async def poll_once(self) -> None:
@@ -76,13 +76,15 @@
         try:
             document = await self._objects.read(f'bundles-{digest}')
         except PlatformError:
-            log.warning('bundle version %d is accepted but its content is not readable', version)
+            log.warning(
+                "bundle version %d is accepted but can't be read from the object store", version
+            )
             raise
         apply_offer(self._rules_view, make_offer(version, digest, document))
 
 
 def parse_key_row(row: Row) -> TeamKey:
-    """Return the key in a row of the table `keys`; a deleted row is a withdrawn key."""
+    """Parse a row of the table `keys`; a deleted row counts as a withdrawn key."""
     fields = row.value or {}
     return TeamKey(
         key_id=row.key,
--- a/comfreywind/entry/fleet_view.py
+++ b/comfreywind/entry/fleet_view.py
@@ -1,4 +1,4 @@
-"""The VMs that this entry knows of and the pool each one belongs to."""
+"""The VMs known to this entry, with their pools and states."""
 
 from collections.abc import Callable, Iterable
 
@@ -14,13 +14,13 @@
 class FleetView:
     """Joins the platform's VM list with the rows of the table `vms`.
 
-    The row decides the pool. With `requires_row`, a VM without a row takes no work, because two
-    entries could read different pools from the list while it changes; else such a VM belongs to
-    the pool on the list.
+    The row takes precedence for the pool; a VM without a row belongs to the pool on the list. With
+    `requires_row`, a VM without a row takes no work, because two entries could read different
+    pools from the list while it changes.
     """
 
     def __init__(self, requires_row: bool = False) -> None:
-        """Start without any VM."""
+        """Start without VMs."""
         self._requires_row = requires_row
         self._listed: dict[str, VmEntry] = {}
         self._rows: dict[str, Row] = {}
@@ -28,29 +28,29 @@
         self._listeners: list[Callable[[], None]] = []
 
     def subscribe(self, receive_change: Callable[[], None]) -> None:
-        """Call the function after each change of the list or of a row."""
+        """Call `receive_change` after each change of the list or of the rows."""
         self._listeners.append(receive_change)
 
     def apply_vm_list(self, vms: Iterable[VmEntry]) -> None:
-        """Take a newer list from the platform."""
+        """Replace the VM list."""
         listed = {vm.name: vm for vm in vms}
         if listed != self._listed:
             self._listed = listed
-            self._tell_listeners()
+            self._notify_listeners()
 
     def apply_vm_rows(self, rows: Iterable[Row]) -> None:
-        """Take newer rows of the table `vms`; an older version never replaces a newer one.
+        """Apply rows of the table `vms`; an older version never replaces a newer one.
 
-        A deleted row is kept with its version, so that an older state of it is not taken again. The
-        listeners are called once for all rows, because each call costs time in proportion to the
+        A deleted row is kept with its version, so that an older version can't bring it back. The
+        listeners are called once for all rows, because the cost of each call is proportional to the
         number of VMs.
         """
         changes = [self._apply_row(row) for row in rows]
         if any(changes):
-            self._tell_listeners()
+            self._notify_listeners()
 
     def list_rows(self) -> list[Row]:
-        """Return all rows of the table `vms`, those of deleted rows with the value None."""
+        """Return all rows of the table `vms`; deleted ones have the value None."""
         return list(self._rows.values())
 
     def list_vms(self) -> list[VmEntry]:
@@ -58,7 +58,7 @@
         return list(self._listed.values())
 
     def read_row(self, name: str) -> Row | None:
-        """Return the VM's row in the table `vms`, if it has one."""
+        """Return the VM's row in the table `vms`, or None if it has none."""
         row = self._rows.get(name)
         return None if row is None or row.value is None else row
 
@@ -70,17 +70,17 @@
     def list_usable(self, pool: str) -> list[VmEntry]:
         """Return the VMs of the pool that take new work.
 
-        These are the active ones. When more VMs are suspect than active, the suspect ones that are
-        still listed as live are used too, because then the observations of the entry that holds
-        the control lease are more likely wrong than most of the pool (as the panic threshold of
-        outlier ejection).
+        Only active VMs do, unless more VMs are suspect than active: then the suspect VMs that are
+        still listed as live are used too, because the observations of the entry that holds the
+        control lease are more likely wrong than most of the pool is broken (like the panic
+        threshold of outlier ejection).
         """
         return _select_usable(
             [(vm, self._read_state(vm)) for vm in self._list_live() if self.get_pool(vm) == pool]
         )
 
     def group_usable(self) -> dict[str, list[VmEntry]]:
-        """Return the VMs that take new work by pool, chosen as `list_usable` does."""
+        """Return the VMs that take new work by pool, selected as in `list_usable`."""
         groups: dict[str, list[tuple[VmEntry, str]]] = {}
         for vm in self._list_live():
             groups.setdefault(self.get_pool(vm), []).append((vm, self._read_state(vm)))
@@ -95,7 +95,7 @@
         self.rows_digest = exchange_row(self.rows_digest, row.key, known_version, row.version)
         return True
 
-    def _tell_listeners(self) -> None:
+    def _notify_listeners(self) -> None:
         for receive_change in self._listeners:
             receive_change()
 
--- a/comfreywind/entry/heartbeat_source.py
+++ b/comfreywind/entry/heartbeat_source.py
@@ -1,4 +1,4 @@
-"""What this entry reports in its heartbeats."""
+"""Builds the heartbeats of this entry."""
 
 from comfreywind.entry.dispatcher import Dispatcher
 from comfreywind.entry.fleet_view import FleetView
@@ -7,21 +7,22 @@
 
 
 class HeartbeatSource:
-    """Collects the report from the parts of the entry."""
+    """Builds heartbeats from the views and the dispatcher."""
 
     def __init__(
         self, rules_view: RulesView, fleet_view: FleetView, dispatcher: Dispatcher
     ) -> None:
-        """Report on the given parts."""
+        """Read from the given views and dispatcher."""
         self._rules_view = rules_view
         self._fleet_view = fleet_view
         self._dispatcher = dispatcher
 
     def make_heartbeat(self) -> Heartbeat:
-        """Return the report; the hub fills its times.
+        """Return a heartbeat; the hub fills in its times.
 
-        The sequence and the outstanding requests are read together, because a planned stop relies
-        on both: no request at a target whose draining is known stays none.
+        The sequence number and the outstanding requests are read at the same instant, because a
+        planned stop relies on both: an entry that knows that a target is draining and has no
+        requests there will send none.
         """
         return Heartbeat(
             sent_s=0,
--- a/comfreywind/entry/load_exchange.py
+++ b/comfreywind/entry/load_exchange.py
@@ -1,4 +1,4 @@
-"""Tells the peers the load of this entry and takes theirs."""
+"""Exchanges load reports with the peers."""
 
 from dataclasses import dataclass
 
@@ -10,12 +10,13 @@
 from comfreywind.peers.peer_hub import PeerHub
 from comfreywind.peers.peer_identity import PeerIdentity
 
+# A peer that has sent no report for this long is assumed to have no load.
 REPORT_TTL_S = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """The newest report of a peer and the monotonic time in seconds at which it came."""
+    """The newest report of a peer and the monotonic time in seconds at which it arrived."""
 
     incarnation: int
     received_s: float
@@ -23,10 +24,10 @@
 
 
 class LoadExchange:
-    """Broadcasts a report in a fixed period; a report older than 1.5 s counts no more."""
+    """Broadcasts load reports at a fixed interval and collects those of the peers."""
 
     def __init__(self, hub: PeerHub, dispatcher: Dispatcher, clock: Clock) -> None:
-        """Follow the reports of the peers."""
+        """Subscribe to the reports of the peers."""
         self._hub = hub
         self._dispatcher = dispatcher
         self._clock = clock
@@ -34,7 +35,7 @@
         hub.subscribe(LoadReport, self.receive_report)
 
     async def run(self, interval_s: float) -> None:
-        """Exchange loads for ever."""
+        """Exchange reports every `interval_s` seconds until cancelled."""
         next_s = trio.current_time()
         while True:
             self.exchange()
@@ -42,7 +43,7 @@
             await trio.sleep_until(next_s)
 
     def exchange(self) -> None:
-        """Broadcast a report and let the dispatcher take the recent reports of all peers."""
+        """Broadcast a report and apply the peers' reports of the last `REPORT_TTL_S` seconds."""
         self._hub.broadcast(self._dispatcher.make_report())
         oldest_s = self._clock.read_monotonic_s() - REPORT_TTL_S
         self._received = {
@@ -54,7 +55,7 @@
         self._dispatcher.apply_reports(reports)
 
     def receive_report(self, peer: PeerIdentity, report: LoadReport) -> None:
-        """Keep the report unless it comes from a process that a later one has replaced."""
+        """Keep the report unless a process with a higher incarnation has replaced its sender."""
         known = self._received.get(peer.name)
         if known is not None and known.incarnation > peer.incarnation:
             return
--- a/comfreywind/entry/member_status.py
+++ b/comfreywind/entry/member_status.py
@@ -1,4 +1,4 @@
-"""The other members as operators see them."""
+"""Status of the other members for operators."""
 
 from comfreywind.clock import Clock
 from comfreywind.peers.peer_hub import PeerHub
@@ -6,10 +6,10 @@
 
 
 class MemberStatus:
-    """Lists the members with what their last heartbeats reported."""
+    """Lists the other members with the contents of their last heartbeats."""
 
     def __init__(self, hub: PeerHub, clock: Clock) -> None:
-        """Read from the hub."""
+        """Read the members and their heartbeats from `hub`."""
         self._hub = hub
         self._clock = clock
 
@@ -23,7 +23,7 @@
         ]
 
     def count_sent_bytes(self) -> int:
-        """Return the bytes sent to the peers, without those of TCP and IP."""
+        """Return the bytes sent to the peers, not counting TCP and IP headers."""
         return self._hub.count_sent_bytes()
 
     def _describe(self, state: PeerState | None) -> dict[str, object]:
--- a/comfreywind/entry/name_set.py
+++ b/comfreywind/entry/name_set.py
@@ -1,10 +1,10 @@
-"""A set of names that a random sample can be drawn from."""
+"""A set of names that supports random sampling."""
 
 from collections.abc import Iterator
 
 
 class NameSet:
-    """Adds, removes and indexes names in constant time; their order has no meaning."""
+    """Adds, removes and indexes names in constant time, in arbitrary order."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -20,7 +20,7 @@
         return iter(self.names)
 
     def set_member(self, name: str, member: bool) -> None:
-        """Add or remove the name."""
+        """Add the name if `member` is true, else remove it."""
         if member == (name in self._positions):
             return
         if member:
--- a/comfreywind/entry/operations.py
+++ b/comfreywind/entry/operations.py
@@ -1,4 +1,4 @@
-"""What operators can do: bundle versions and keys."""
+"""Operators' changes of bundle versions and keys."""
 
 import logging
 from typing import Any
@@ -28,87 +28,87 @@
 STATE_SIGNED_OFF = 'signed-off'
 STATE_GRANTED = 'granted'
 STATE_WITHDRAWN = 'withdrawn'
-CONTENT_ATTEMPTS = 3
+CONTENT_WRITE_ATTEMPTS = 3
 
 log = logging.getLogger('comfreywind.operations')
 
 
 class Operations:
-    """Changes of bundles and keys, decided by compare-and-set on the platform's rows."""
+    """Changes bundle versions and keys by compare-and-set on rows of the store."""
 
     def __init__(self, tables: TableClient, objects: ObjectClient) -> None:
-        """Use the given clients."""
+        """Keep rows in `tables` and the content of the bundles in `objects`."""
         self._tables = tables
         self._objects = objects
 
     async def create_version(self, version: int, document: object) -> str:
         """Store a bundle as a new version and return its digest.
 
-        Raises BundleError for a bad bundle and OperationRefusedError when the version exists.
+        Raises BundleError for an invalid bundle and OperationRefusedError if the version exists.
         """
         parse_bundle(document, f'bundle version {version}')
         digest = compute_digest(document)
         await self._store_content(digest, document)
-        missing = Row(TABLE_BUNDLES, str(version), MISSING_VERSION, None)
+        missing_row = Row(TABLE_BUNDLES, str(version), MISSING_VERSION, None)
         fields = {'digest': digest, 'state': STATE_CREATED}
-        await self._commit(missing, fields, f'bundle version {version} exists already')
+        await self._commit(missing_row, fields, f'bundle version {version} exists already')
         return digest
 
     async def sign_off(self, version: int) -> None:
-        """Mark a created version as signed off."""
-        row = await self._read_version(version)
-        fields = {**_read_fields(row), 'state': STATE_SIGNED_OFF}
+        """Sign off a created version; raise OperationRefusedError if there is no such version."""
+        row = await self._read_version_row(version)
+        fields = {**_get_fields(row), 'state': STATE_SIGNED_OFF}
         await self._commit(row, fields, f'bundle version {version} was changed by someone else')
 
     async def roll_out(self, version: int) -> BundleOffer:
-        """Put a signed-off version into force and return it; only a higher one is accepted.
+        """Put a signed-off version into force, if it is higher than the current one, and return it.
 
-        The content is read first, because a version without readable content would leave every
-        entry without fresh rules.
+        The content is read first, because no entry could refresh its rules if the version in force
+        had no readable content.
         """
-        row = await self._read_version(version)
-        fields = _read_fields(row)
+        row = await self._read_version_row(version)
+        fields = _get_fields(row)
         if fields['state'] != STATE_SIGNED_OFF:
             raise OperationRefusedError(f'bundle version {version} is not signed off')
         offer = await self._read_offer(version, fields['digest'])
-        current = await self._tables.read_row(TABLE_CURRENT, ROW_BUNDLE)
-        current_version = _read_fields(current)['version'] if current else 0
+        current_row = await self._tables.read_row(TABLE_CURRENT, ROW_BUNDLE)
+        current_version = _get_fields(current_row)['version'] if current_row else 0
         if version <= current_version:
             raise OperationRefusedError(
                 f'bundle version {current_version} is in force and {version} is not higher'
             )
-        old = current or Row(TABLE_CURRENT, ROW_BUNDLE, MISSING_VERSION, None)
+        old_row = current_row or Row(TABLE_CURRENT, ROW_BUNDLE, MISSING_VERSION, None)
         current_fields = {'version': version, 'digest': fields['digest']}
-        await self._commit(old, current_fields, 'another roll-out was faster')
+        await self._commit(old_row, current_fields, 'another roll-out was faster')
         return offer
 
     async def grant_key(self, team: str) -> tuple[NewKey, TeamKey]:
-        """Grant a new key to the team; return it with its secret and as it is stored."""
+        """Grant a new key to the team; return the key with its secret and its stored form."""
         key = make_key()
-        missing = Row(TABLE_KEYS, key.key_id, MISSING_VERSION, None)
+        missing_row = Row(TABLE_KEYS, key.key_id, MISSING_VERSION, None)
         fields = {'team': team, 'secret_sha256': key.secret_sha256, 'state': STATE_GRANTED}
-        row = await self._commit(missing, fields, 'the new key id is taken')
+        row = await self._commit(missing_row, fields, 'the new key id is taken')
         return key, parse_key_row(row)
 
     async def withdraw_key(self, key_id: str) -> TeamKey:
-        """Withdraw a key and return its state; withdrawing it again changes nothing."""
+        """Withdraw a key and return its stored form; withdrawing it again changes nothing."""
         row = await self._tables.read_row(TABLE_KEYS, key_id)
         if row is None:
             raise OperationRefusedError(f'there is no key {key_id!r}')
-        if _read_fields(row)['state'] == STATE_WITHDRAWN:
+        if _get_fields(row)['state'] == STATE_WITHDRAWN:
             return parse_key_row(row)
-        fields = {**_read_fields(row), 'state': STATE_WITHDRAWN}
+        fields = {**_get_fields(row), 'state': STATE_WITHDRAWN}
         new_row = await self._commit(row, fields, f'key {key_id} was changed by someone else')
         return parse_key_row(new_row)
 
     async def _store_content(self, digest: str, document: object) -> None:
-        for _ in range(CONTENT_ATTEMPTS):
+        for _ in range(CONTENT_WRITE_ATTEMPTS):
             try:
                 await self._objects.write_new(f'bundles-{digest}', document)
             except ObjectExistsError:
                 return
             except StoreUnavailableError as error:
-                log.info('the content %s is written again: %s', digest, error)
+                log.info('no reply to the write of bundle content %s: %s', digest, error)
             else:
                 return
         raise StoreUnavailableError(f"the content {digest} can't be written")
@@ -121,18 +121,18 @@
                 f'the content of bundle version {version} is not in the object store: {error}'
             ) from error
 
-    async def _read_version(self, version: int) -> Row:
+    async def _read_version_row(self, version: int) -> Row:
         row = await self._tables.read_row(TABLE_BUNDLES, str(version))
         if row is None:
             raise OperationRefusedError(f'there is no bundle version {version}')
         return row
 
-    async def _commit(self, old: Row, fields: dict[str, Any], conflict_text: str) -> Row:
+    async def _commit(self, old_row: Row, fields: dict[str, Any], conflict_text: str) -> Row:
         try:
-            return await commit_resolved(self._tables, old, fields)
+            return await commit_resolved(self._tables, old_row, fields)
         except RowConflictError as error:
             raise OperationRefusedError(conflict_text) from error
 
 
-def _read_fields(row: Row) -> dict[str, Any]:
+def _get_fields(row: Row) -> dict[str, Any]:
     return row.value or {}
--- a/comfreywind/entry/operator_app.py
+++ b/comfreywind/entry/operator_app.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP side."""
+"""HTTP API for operators."""
 
 import hmac
 import logging
@@ -35,7 +35,7 @@
 
 
 class OperatorApp:
-    """Serves operators who present the operator token."""
+    """ASGI app of the operator API; every request must carry the operator token."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         control_view: ControlView,
         explainer: Explainer,
     ) -> None:
-        """Use the given parts."""
+        """Accept the token with the hash `token_sha256`."""
         self._entry_name = entry_name
         self._token_sha256 = token_sha256
         self._operations = operations
@@ -78,15 +78,15 @@
         ]
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
-        if not self._is_operator(find_header(scope['headers'], b'authorization')):
+        """Authenticate and route one request, and convert errors to responses."""
+        if not self._has_operator_token(find_header(scope['headers'], b'authorization')):
             await send_json(send, 401, {'error': 'the operator token is missing or wrong'})
             return
-        found = find_route(self._routes, scope['method'], scope['path'])
-        if found is None:
+        matched = find_route(self._routes, scope['method'], scope['path'])
+        if matched is None:
             await send_json(send, 404, {'error': 'unknown path or method'})
             return
-        route, path_parts = found
+        route, path_parts = matched
         try:
             await route.endpoint(HttpCall(scope, receive, send, path_parts))
         except BAD_REQUEST_ERRORS as error:
@@ -94,10 +94,10 @@
         except OperationRefusedError as error:
             await send_json(send, 409, {'error': str(error)})
         except PlatformError as error:
-            log.warning('an operation failed: %s', error)
+            log.warning('operator request failed, answering with 503: %s', error)
             await send_json(send, 503, {'error': f'the platform gave no answer: {error}'})
 
-    def _is_operator(self, authorization: str) -> bool:
+    def _has_operator_token(self, authorization: str) -> bool:
         token = authorization.removeprefix('Bearer ')
         return hmac.compare_digest(hash_secret(token), self._token_sha256)
 
@@ -162,8 +162,10 @@
         version = int(call.path_parts['version'])
         offer = await self._operations.roll_out(version)
         self._propagation.announce_bundle(offer)
-        lists = await self._confirmations.wait_for_bundle(version)
-        await send_json(call.send, 200, {'version': version, 'state': 'accepted', **lists})
+        confirmation_lists = await self._confirmations.wait_for_bundle(version)
+        await send_json(
+            call.send, 200, {'version': version, 'state': 'accepted', **confirmation_lists}
+        )
 
     async def _post_key(self, call: HttpCall) -> None:
         document = await read_json(call.receive, BODY_LIMIT_BYTES)
@@ -174,8 +176,8 @@
     async def _delete_key(self, call: HttpCall) -> None:
         key = await self._operations.withdraw_key(call.path_parts['key_id'])
         self._propagation.announce_key(key)
-        lists = await self._confirmations.wait_for_keys()
-        reply = {'key_id': key.key_id, 'state': 'withdrawn', **lists}
+        confirmation_lists = await self._confirmations.wait_for_keys()
+        reply = {'key_id': key.key_id, 'state': 'withdrawn', **confirmation_lists}
         await send_json(call.send, 200, reply)
 
     def _describe_pool(self, pool: PoolRules) -> dict[str, object]:
--- a/comfreywind/entry/rules_view.py
+++ b/comfreywind/entry/rules_view.py
@@ -1,4 +1,4 @@
-"""The rules and keys that this entry knows of, and how fresh they are."""
+"""The rules and keys known to this entry, and how fresh they are."""
 
 from collections.abc import Callable
 
@@ -12,18 +12,20 @@
 
 
 class RulesView:
-    """Holds the newest view; an older version never replaces a newer one.
+    """Holds the newest known rules and keys; an older version never replaces a newer one.
 
-    `sequence` is the sequence of the last read of the change feed. `view_sequence` is the sequence
-    up to which rules, keys and VM rows are known, from the store or from peers.
+    `accepted_version` is the highest bundle version known to be accepted, even if its content has
+    not been read yet. `sequence` is the sequence number of the last read of the change feed.
+    `view_sequence` is the sequence number up to which rules, keys and VM rows are known, from the
+    store or from peers.
     """
 
     def __init__(self, clock: Clock, fresh_s: float) -> None:
-        """Start without rules."""
+        """Start without rules; the view is fresh for `fresh_s` after it was last confirmed."""
         self._clock = clock
         self._fresh_s = fresh_s
-        self._store_confirmed_s: float | None = None
-        self._attempted_s: float | None = None
+        self._store_read_s: float | None = None
+        self._read_attempted_s: float | None = None
         self._confirmed_s: float | None = None
         self.rules: Rules | None = None
         self.offer: BundleOffer | None = None
@@ -35,11 +37,11 @@
         self._listeners: list[Callable[[], None]] = []
 
     def subscribe(self, receive_change: Callable[[], None]) -> None:
-        """Call the function after new rules were taken."""
+        """Call `receive_change` each time new rules are in force."""
         self._listeners.append(receive_change)
 
     def read_version(self) -> int:
-        """Return the bundle version in force, 0 before the first one."""
+        """Return the bundle version in force, or 0 before the first one."""
         return self.rules.version if self.rules else 0
 
     def require_rules(self) -> Rules:
@@ -49,7 +51,7 @@
         return self.rules
 
     def apply_rules(self, rules: Rules, offer: BundleOffer | None = None) -> bool:
-        """Take rules of a higher version, with their content, and return whether they are."""
+        """Put the rules into force if their version is higher, and return whether it is."""
         if not is_newer_version(self.read_version(), rules.version):
             return False
         self.rules = rules
@@ -60,11 +62,11 @@
         return True
 
     def record_accepted_version(self, version: int) -> None:
-        """Note that a version is accepted, even if its content is not known here."""
+        """Record that a version is accepted, even if its content is not known here."""
         self.accepted_version = max(self.accepted_version, version)
 
     def apply_key(self, key: TeamKey) -> bool:
-        """Take a key whose row version is higher than the one known and return True."""
+        """Apply the key if its row version is higher than the known one, and return whether so."""
         known_key = self.keys.get(key.key_id)
         if not is_newer_key(known_key, key):
             return False
@@ -76,20 +78,20 @@
         return True
 
     def record_store_read(self, at_s: float) -> None:
-        """Note that the view was complete at this monotonic time, as read from the store."""
-        if self._store_confirmed_s is None or at_s > self._store_confirmed_s:
-            self._store_confirmed_s = at_s
+        """Record that the store was read, and the view complete, at this monotonic time."""
+        if self._store_read_s is None or at_s > self._store_read_s:
+            self._store_read_s = at_s
         self.record_read_attempt(at_s)
         self.view_sequence = max(self.view_sequence, self.sequence)
         self.record_peer_confirmation(at_s)
 
     def record_read_attempt(self, at_s: float) -> None:
-        """Note that an attempt to read the store had failed by this monotonic time."""
-        if self._attempted_s is None or at_s > self._attempted_s:
-            self._attempted_s = at_s
+        """Record that an attempt to read the store had ended by this monotonic time."""
+        if self._read_attempted_s is None or at_s > self._read_attempted_s:
+            self._read_attempted_s = at_s
 
     def record_peer_confirmation(self, at_s: float) -> None:
-        """Note that the view was complete at this monotonic time, as confirmed by peers."""
+        """Record that the view was complete at this monotonic time, by the reports of peers."""
         if self._confirmed_s is None or at_s > self._confirmed_s:
             self._confirmed_s = at_s
 
@@ -98,24 +100,24 @@
         return self._confirmed_s is None
 
     def read_store_age_s(self) -> float:
-        """Return the age of the last read of the store, infinity before the first."""
-        return self._read_age_s(self._store_confirmed_s)
+        """Return the seconds since the last read of the store, infinity before the first."""
+        return self._compute_age_s(self._store_read_s)
 
     def read_attempt_age_s(self) -> float:
-        """Return the age of the last finished attempt to read the store, failed or not."""
-        return self._read_age_s(self._attempted_s)
+        """Return the seconds since the last finished attempt to read the store, failed or not."""
+        return self._compute_age_s(self._read_attempted_s)
 
     def read_age_s(self) -> float:
-        """Return the age of the view in seconds, infinity before the first confirmation."""
-        return self._read_age_s(self._confirmed_s)
+        """Return the seconds since the view was last confirmed, infinity before the first time."""
+        return self._compute_age_s(self._confirmed_s)
 
     def read_fresh_left_s(self) -> float:
-        """Return for how many seconds the view stays fresh; negative when it is stale."""
+        """Return for how many seconds the view stays fresh; negative if it is stale."""
         return self._fresh_s - self.read_age_s()
 
     def is_fresh(self) -> bool:
-        """Return whether the view may be served from."""
+        """Return whether the view is recent enough to serve requests from."""
         return is_fresh(self._clock.read_monotonic_s(), self._confirmed_s, self._fresh_s)
 
-    def _read_age_s(self, at_s: float | None) -> float:
+    def _compute_age_s(self, at_s: float | None) -> float:
         return float('inf') if at_s is None else self._clock.read_monotonic_s() - at_s
--- a/comfreywind/entry/run.py
+++ b/comfreywind/entry/run.py
@@ -20,7 +20,7 @@
 
 
 async def run_entry(settings: EntrySettings) -> None:
-    """Serve callers and operators until the process is told to end, then drain."""
+    """Serve callers and operators until a termination signal arrives, then drain."""
     configure_logs(settings.log_format)
     core = make_core_components(settings)
     serving = make_serving_components(core)
@@ -40,7 +40,7 @@
 def start_serving_tasks(
     nursery: trio.Nursery, core: CoreComponents, serving: ServingComponents
 ) -> None:
-    """Start the tasks behind the callers' side."""
+    """Start the background tasks that serving callers relies on."""
     heartbeat_interval_s = core.settings.timings.heartbeat_interval_s
     nursery.start_soon(serving.claims.run)
     nursery.start_soon(serving.units.run)
@@ -52,7 +52,7 @@
 def start_operating_tasks(
     nursery: trio.Nursery, core: CoreComponents, operating: OperatingComponents
 ) -> None:
-    """Start the tasks that follow the platform, do control work and report."""
+    """Start the tasks that poll the platform, control the pools and write reports."""
     timings = core.settings.timings
     nursery.start_soon(operating.feed.run, timings.feed_interval_s)
     nursery.start_soon(
@@ -69,7 +69,7 @@
     serving: ServingComponents,
     operating: OperatingComponents,
 ) -> None:
-    """Serve both sides; after the termination finish what is in flight and return the portions."""
+    """Run both servers; on termination finish requests in flight and return the portions."""
     settings = core.settings
     shutdown = trio.Event()
     async with trio.open_nursery() as servers:
@@ -89,7 +89,7 @@
 async def finish_writes(
     core: CoreComponents, serving: ServingComponents, operating: OperatingComponents
 ) -> None:
-    """Write outcomes of claims and the last decisions, within the platform timeout each."""
+    """Write the outcomes of claims, then the last decisions, each within the platform timeout."""
     timeout_s = core.settings.timings.platform_timeout_s
     await serving.claims.drain(timeout_s)
     with trio.move_on_after(timeout_s):
--- a/comfreywind/entry/scope_keys.py
+++ b/comfreywind/entry/scope_keys.py
@@ -1,4 +1,4 @@
-"""Keys under which the callers' side notes facts of a request in its ASGI scope."""
+"""Keys of the ASGI scope in which the queue and the team of a request are stored."""
 
 SCOPE_QUEUE = 'comfreywind.queue'
 SCOPE_TEAM = 'comfreywind.team'
--- a/comfreywind/entry/service_tasks.py
+++ b/comfreywind/entry/service_tasks.py
@@ -6,7 +6,7 @@
 
 
 class ServiceTasks:
-    """A nursery for the whole life of the entry process."""
+    """A nursery that stays open for the lifetime of the entry process."""
 
     def __init__(self) -> None:
         """Start without a nursery; `run` opens it."""
@@ -20,7 +20,9 @@
             await trio.sleep_forever()
 
     def start(self, run_task: Callable[[], Awaitable[None]]) -> None:
-        """Run the function as a task; it must not raise."""
+        """Run the function in a new task; it must not raise, as that would end the process."""
         if self._nursery is None:
-            raise RuntimeError('the service tasks are not running')
+            raise RuntimeError(
+                'ServiceTasks.start was called while ServiceTasks.run is not running'
+            )
         self._nursery.start_soon(run_task)
--- a/comfreywind/entry/view_parts.py
+++ b/comfreywind/entry/view_parts.py
@@ -1,4 +1,4 @@
-"""Cuts a view into messages for a peer that lacks parts of it."""
+"""Encodes a view as messages of bounded size for a peer that lacks some of it."""
 
 import json
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 from comfreywind.platform.vm_entry import VmEntry
 from comfreywind.settings.address import parse_address
 
-# Keeps a message below 1 MiB with rows of about 250 bytes.
+# With rows of about 250 bytes, a message stays below 1 MiB.
 ROWS_PER_MESSAGE = 4_000
 RowType = TypeVar('RowType')
 
@@ -25,31 +25,31 @@
 def make_view_messages(
     request: ViewRequest, rules_view: RulesView, fleet_view: FleetView
 ) -> Iterator[PeerMessage]:
-    """Yield what the asking peer lacks or wants."""
+    """Yield what the sender of the request lacks, and the VM list if it wants that."""
     offer = rules_view.offer
     if offer is not None and offer.version > request.bundle_version:
         yield offer
     if request.keys_digest != rules_view.keys_digest:
         yield from _make_key_lists(rules_view)
     if request.vms_digest != fleet_view.rows_digest:
-        yield from _make_row_lists(fleet_view)
+        yield from _make_vm_row_lists(fleet_view)
     if request.wants_vm_list:
         yield from _make_vm_lists(fleet_view)
 
 
 def parse_keys(message: KeyList) -> Iterator[TeamKey]:
-    """Yield the keys in a part."""
+    """Yield the keys in a message."""
     return (TeamKey(*fields) for fields in message.keys)
 
 
 def parse_rows(message: VmRowList, table: str) -> Iterator[Row]:
-    """Yield the rows in a part; raise ValueError for a value that is not JSON."""
+    """Yield the rows in a message; raise ValueError for a value that is not JSON."""
     for key, version, value_text in message.rows:
         yield Row(table, key, version, json.loads(value_text))
 
 
 def parse_vms(message: VmList) -> Iterator[VmEntry]:
-    """Yield the VMs in a part; raise ValueError for a malformed address."""
+    """Yield the VMs in a message; raise ValueError for a malformed address."""
     for name, address, data_centre, rack, pool, state, incarnation in message.vms:
         yield VmEntry(
             name=name,
@@ -67,14 +67,14 @@
         (key.key_id, key.team, key.secret_sha256, key.withdrawn, key.row_version)
         for key in rules_view.keys.values()
     ]
-    for part, last in _cut(rows):
-        yield KeyList(part, rules_view.keys_digest if last else None)
+    for chunk, last in _split(rows):
+        yield KeyList(chunk, rules_view.keys_digest if last else None)
 
 
-def _make_row_lists(fleet_view: FleetView) -> Iterator[VmRowList]:
+def _make_vm_row_lists(fleet_view: FleetView) -> Iterator[VmRowList]:
     rows = [(row.key, row.version, json.dumps(row.value)) for row in fleet_view.list_rows()]
-    for part, last in _cut(rows):
-        yield VmRowList(part, fleet_view.rows_digest if last else None)
+    for chunk, last in _split(rows):
+        yield VmRowList(chunk, fleet_view.rows_digest if last else None)
 
 
 def _make_vm_lists(fleet_view: FleetView) -> Iterator[VmList]:
@@ -83,18 +83,18 @@
         for vm in fleet_view.list_vms()
     ]
     first = True
-    for part, last in _cut(rows):
-        yield VmList(part, first, last)
+    for chunk, last in _split(rows):
+        yield VmList(chunk, first, last)
         first = False
 
 
-def _cut(rows: list[RowType]) -> Iterator[tuple[tuple[RowType, ...], bool]]:
-    """Yield parts of bounded length, each with whether it is the last; at least one part."""
+def _split(rows: list[RowType]) -> Iterator[tuple[tuple[RowType, ...], bool]]:
+    """Yield chunks of at most `ROWS_PER_MESSAGE` rows, at least one, each with an is-last flag."""
     remaining = iter(rows)
-    part = tuple(islice(remaining, ROWS_PER_MESSAGE))
+    chunk = tuple(islice(remaining, ROWS_PER_MESSAGE))
     while True:
-        next_part = tuple(islice(remaining, ROWS_PER_MESSAGE))
-        yield part, not next_part
-        if not next_part:
+        next_chunk = tuple(islice(remaining, ROWS_PER_MESSAGE))
+        yield chunk, not next_chunk
+        if not next_chunk:
             return
-        part = next_part
+        chunk = next_chunk
--- a/comfreywind/entry/vm_list_poller.py
+++ b/comfreywind/entry/vm_list_poller.py
@@ -1,4 +1,4 @@
-"""Follows the platform's VM list."""
+"""Polls the platform's VM list."""
 
 import logging
 
@@ -12,12 +12,12 @@
 
 
 async def poll_vm_list(client: VmListClient, fleet_view: FleetView, interval_s: float) -> None:
-    """Read the list in a fixed period for ever; a failed read keeps the old list."""
+    """Read the list every `interval_s` seconds until cancelled; a failed read keeps the old one."""
     while True:
         try:
             await _poll_once(client, fleet_view)
         except PlatformError as error:
-            log.warning("the VM list can't be read: %s", error)
+            log.warning("can't read the VM list, keeping the last one: %s", error)
         await trio.sleep(interval_s)
 
 
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -1,4 +1,4 @@
-"""Which load reports of peers count."""
+"""Load reports of peers that are expired or come from a replaced process are ignored."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class RecordingDispatcher:
-    """Keeps the reports that it was given last."""
+    """Records the reports that were applied last."""
 
     reports: Mapping[str, LoadReport] = {}
 
@@ -23,18 +23,22 @@
         return LoadReport({}, {})
 
     def apply_reports(self, reports: Mapping[str, LoadReport]) -> None:
-        """Keep the reports."""
+        """Record the reports."""
         self.reports = reports
 
 
 def make_exchange(clock: ManualClock) -> tuple[LoadExchange, RecordingDispatcher]:
-    """Return an exchange and the dispatcher that it serves."""
+    """Return an exchange and its dispatcher."""
     dispatcher: Any = RecordingDispatcher()
     return LoadExchange(MemoryHub('entry-0', []), dispatcher, clock), dispatcher
 
 
-def test_old_report_counts_no_more() -> None:
-    """Guards against slots kept for ever for an entry that is gone, and against flapping."""
+def test_old_report_is_dropped() -> None:
+    """A report counts for 1.5 s and is then dropped.
+
+    Kept longer, the requests of an entry that is gone would occupy slots for ever; dropped sooner,
+    the slots in use would flap.
+    """
     clock = ManualClock()
     exchange, dispatcher = make_exchange(clock)
     exchange.receive_report(PeerIdentity('entry-1', 1), OLD)
@@ -46,8 +50,8 @@
     assert dispatcher.reports == {}
 
 
-def test_replaced_process_counts_no_more() -> None:
-    """Guards against a late report of a process that a later one has replaced."""
+def test_report_of_replaced_process_is_ignored() -> None:
+    """A late report of a replaced process doesn't overwrite the report of its successor."""
     exchange, dispatcher = make_exchange(ManualClock())
     exchange.receive_report(PeerIdentity('entry-1', 2), NEW)
     exchange.receive_report(PeerIdentity('entry-1', 1), OLD)
