--- a/comfreywind/entry/feed.py
+++ b/comfreywind/entry/feed.py
@@ -43,7 +43,7 @@
         self._control_view = control_view or ControlView(clock)
 
     async def run(self, interval_s: float) -> None:
-        """Poll until cancelled; a failed poll is retried after the interval."""
+        """Poll until cancelled; after a failed poll the next one reads the same changes again."""
         while True:
             try:
                 await self.poll_once()
