--- a/comfreywind/entry/operations.py
+++ b/comfreywind/entry/operations.py
@@ -108,7 +108,7 @@
             except ObjectExistsError:
                 return
             except StoreUnavailableError as error:
-                log.info('no reply to the write of bundle content %s: %s', digest, error)
+                log.info('write of bundle content %s was not confirmed: %s', digest, error)
             else:
                 return
         raise StoreUnavailableError(f"the content {digest} can't be written")
