--- a/comfreywind/entry/assembly/operating_parts.py
+++ b/comfreywind/entry/assembly/operating_parts.py
@@ -1,11 +1,11 @@
-"""The parts that follow the platform, do control work, report, and serve operators."""
+"""Components that poll the platform, control the pools, report, and serve operators."""
 
 from dataclasses import dataclass
 
 from comfreywind.control.control_task import ControlTask
 from comfreywind.control.make_control import make_control
-from comfreywind.entry.assembly.core_parts import CoreParts
-from comfreywind.entry.assembly.serving_parts import ServingParts
+from comfreywind.entry.assembly.core_parts import CoreComponents
+from comfreywind.entry.assembly.serving_parts import ServingComponents
 from comfreywind.entry.confirmations import Confirmations
 from comfreywind.entry.feed import Feed
 from comfreywind.entry.member_status import MemberStatus
@@ -22,8 +22,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperatingParts:
-    """Feed, control, reports and the operators' side."""
+class OperatingComponents:
+    """Change feed, control, reports and the app for operators."""
 
     feed: Feed
     control: ControlTask
@@ -34,11 +34,13 @@
     operator_app: OperatorApp
 
 
-def make_operating_parts(core: CoreParts, serving: ServingParts) -> OperatingParts:
-    """Return the parts that operate the entry."""
+def make_operating_components(
+    core: CoreComponents, serving: ServingComponents
+) -> OperatingComponents:
+    """Build the components that operate the entry."""
     settings = core.settings
     recorder = ResultRecorder(core.clock)
-    summaries = SummaryStore(core.tables, core.objects, _name_process(core))
+    summaries = SummaryStore(core.tables, core.objects, _make_process_name(core))
     decision_store = DecisionStore(settings.name, core.decisions, core.tables, core.objects)
     propagation = Propagation(
         core.hub,
@@ -61,7 +63,7 @@
         core.control_view,
         Explainer(settings.name, core.decisions, decision_store, core.hub),
     )
-    return OperatingParts(
+    return OperatingComponents(
         feed=Feed(
             core.tables,
             core.objects,
@@ -86,7 +88,7 @@
     )
 
 
-def _make_control(core: CoreParts, serving: ServingParts) -> ControlTask:
+def _make_control(core: CoreComponents, serving: ServingComponents) -> ControlTask:
     return make_control(
         core.hub.identity,
         core.hub,
@@ -102,6 +104,6 @@
     )
 
 
-def _name_process(core: CoreParts) -> str:
-    """Return a name that no other process of this entry has had."""
+def _make_process_name(core: CoreComponents) -> str:
+    """Return a name that is unique among all processes of this entry."""
     return f'{core.settings.name}-{core.hub.identity.incarnation}'
--- a/comfreywind/entry/assembly/serving_parts.py
+++ b/comfreywind/entry/assembly/serving_parts.py
@@ -1,8 +1,8 @@
-"""The parts that serve callers."""
+"""Components that serve callers."""
 
 from dataclasses import dataclass
 
-from comfreywind.entry.assembly.core_parts import CoreParts
+from comfreywind.entry.assembly.core_parts import CoreComponents
 from comfreywind.entry.caller_app import CallerApp
 from comfreywind.entry.claims import Claims
 from comfreywind.entry.dispatch_policy import make_policy
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServingParts:
-    """The callers' side and what places and sends its requests."""
+class ServingComponents:
+    """The app for callers and what queues, places and forwards its requests."""
 
     units: RunnableUnits
     health: TargetHealth
@@ -33,8 +33,8 @@
     caller_app: CallerApp
 
 
-def make_serving_parts(core: CoreParts) -> ServingParts:
-    """Return the parts that serve callers."""
+def make_serving_components(core: CoreComponents) -> ServingComponents:
+    """Build the components that serve callers and set the source of the heartbeats."""
     settings = core.settings
     units = make_units(settings, core.hub, core.tables, core.rules_view, core.clock, core.decisions)
     health = TargetHealth(core.fleet_view, core.clock, core.decisions)
@@ -80,7 +80,7 @@
         settings.body_limit_bytes,
         settings.timings.default_deadline_s,
     )
-    return ServingParts(
+    return ServingComponents(
         units=units,
         health=health,
         dispatcher=dispatcher,
