--- a/comfreywind/decisions/attempt.py
+++ b/comfreywind/decisions/attempt.py
@@ -12,8 +12,8 @@
 class AttemptEnd(enum.Enum):
     """How an attempt ended.
 
-    `REFUSED` is the answer of a target without a free slot, `UNREACHABLE` a failure to connect, and
-    `BROKEN` a connection that was lost before the answer was complete.
+    `REFUSED` is an answer by which the target, usually a busy one, states that it has not run the
+    request. `UNREACHABLE` is a failure to connect, and `BROKEN` a connection that failed after that.
     """
 
     ANSWERED = enum.auto()
--- a/comfreywind/decisions/pools/holder.py
+++ b/comfreywind/decisions/pools/holder.py
@@ -41,10 +41,10 @@
 def decide_lease(view: LeaseView, ttl_s: float, handover_s: float) -> LeaseStep:
     """Return what to do about a lease.
 
-    The lease of another entry lapses when its row has not changed for `ttl_s`. A free lease is
-    taken by the preferred entry, and after another `ttl_s` by any entry, because entries may
-    disagree about who is alive. A holder releases its lease only after another entry has been
-    preferred for `handover_s`.
+    The lease of another entry lapses when its row has not changed for `ttl_s`. A free or lapsed
+    lease is taken by the preferred entry, and once it has been free for `ttl_s` by any entry,
+    because entries may disagree about who is alive. A holder releases its lease only after another
+    entry has been preferred for `handover_s`.
     """
     if view.held_here:
         return LeaseStep.RELEASE if view.other_preferred_s >= handover_s else LeaseStep.KEEP
--- a/comfreywind/decisions/pools/spares.py
+++ b/comfreywind/decisions/pools/spares.py
@@ -40,8 +40,9 @@
 ) -> dict[str, int]:
     """Return how many VMs this pool wants from each spare pool, including those borrowed already.
 
-    More VMs are requested only while the budget is broken, and never more than are missing, so that
-    a pool whose budget can't be met even at full size does not borrow every spare VM.
+    Replacements are requested only while the budget is broken, and never more than VMs are missing,
+    so that a pool whose budget can't be met even at full size does not borrow every spare VM. One
+    VM is also requested when the budget blocks maintenance that is overdue.
     """
     if snapshot.policy.spare:
         return {}
--- a/comfreywind/decisions/portions/session_events.py
+++ b/comfreywind/decisions/portions/session_events.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceRequested(SessionEvent):
-    """A member asks this entry to agree to the fence of a holder that stopped at this renewal."""
+    """A member asks this entry to agree to the fence of a holder at this renewal number."""
 
     holder: str
     renewal_number: int
--- a/comfreywind/decisions/retry_budget.py
+++ b/comfreywind/decisions/retry_budget.py
@@ -55,5 +55,5 @@
     if budget.seconds and budget.seconds[-1].second == current.second:
         return RetryBudget((*budget.seconds[:-1], current))
     oldest = current.second - WINDOW_S
-    kept = tuple(entry for entry in budget.seconds if entry.second > oldest)
-    return RetryBudget((*kept, current))
+    remaining = tuple(entry for entry in budget.seconds if entry.second > oldest)
+    return RetryBudget((*remaining, current))
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -24,7 +24,7 @@
 from comfreywind.decisions.portions.unit_shares import UnitDemand, decide_transfer
 
 ROW = PortionRow(10, 1, recorded=(('a@1', 4), ('b@1', 2)))
-GUARD = SessionState('a@1', SessionTiming(4, 0.01), silent_until_s=0, valid_until_s=100)
+SESSION_STATE = SessionState('a@1', SessionTiming(4, 0.01), silent_until_s=0, valid_until_s=100)
 TRANSFER_CASES = (
     ('idle units go to who asks', UnitDemand(8, 0), UnitDemand(0, 5), 5, False, 5),
     ('no more than is spare', UnitDemand(8, 6), UnitDemand(8, 9), 5, False, 2),
@@ -96,7 +96,7 @@
 def test_agreement_and_promise_exclude_each_other() -> None:
     """A member must not agree to fence a holder while its promise lets the holder work."""
     asked = PromiseRequested('h@1', renewal_number=7, now_s=10, is_member=True)
-    promised, effects = apply_session_event(asked, GUARD)
+    promised, effects = apply_session_event(asked, SESSION_STATE)
     assert effects == (GrantPromise('h@1'),)
     assert apply_session_event(FenceRequested('h@1', 7, 14), promised) == (promised, ())
     agreed, effects = apply_session_event(FenceRequested('h@1', 7, 14.05), promised)
@@ -111,4 +111,4 @@
 def test_promises_refused(now_s: float, is_member: bool) -> None:
     """No promise must be given without a valid session, or to a holder that may be fenced."""
     asked = PromiseRequested('h@1', 7, now_s, is_member)
-    assert apply_session_event(asked, GUARD)[1] == (RefusePromise('h@1'),)
+    assert apply_session_event(asked, SESSION_STATE)[1] == (RefusePromise('h@1'),)
