--- a/comfreywind/decisions/attempt.py
+++ b/comfreywind/decisions/attempt.py
@@ -13,7 +13,7 @@
     """How an attempt ended.
 
     `REFUSED` is an answer by which the target, usually a busy one, states that it has not run the
-    request. `UNREACHABLE` is a failure to connect, and `BROKEN` a connection that failed after that.
+    request. `UNREACHABLE` is a failure to connect, and `BROKEN` a connection that failed later.
     """
 
     ANSWERED = enum.auto()
