--- a/comfreywind/decisions/portions/fence_attempt.py
+++ b/comfreywind/decisions/portions/fence_case.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, replace
 
-from comfreywind.decisions.portions.number_map import NumberMap
 from comfreywind.decisions.portions.session_timing import SessionTiming
+from comfreywind.decisions.portions.totals import NumberMap
 
 Agreement = tuple[str, tuple[tuple[str, NumberMap], ...]]
 
--- a/comfreywind/decisions/portions/session_transitions.py
+++ b/comfreywind/decisions/portions/guard_step.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 from functools import singledispatch
 
-from comfreywind.decisions.portions.number_map import NumberMap, get_number, raise_number
+from comfreywind.decisions.portions.guard import SessionState, is_session_valid
 from comfreywind.decisions.portions.session_effects import (
     AgreeToFence,
     GrantPromise,
@@ -19,7 +19,7 @@
     RenewalObserved,
     SessionEvent,
 )
-from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
+from comfreywind.decisions.portions.totals import NumberMap, get_number, raise_number
 
 SessionTransition = tuple[SessionState, tuple[SessionEffect, ...]]
 
--- a/comfreywind/decisions/portions/holder_name.py
+++ b/comfreywind/decisions/portions/holder_name.py
@@ -1,6 +1,6 @@
 """Names of holders (incarnations of entries, `name@incarnation`) and of flows between them."""
 
-from comfreywind.decisions.portions.number_map import NumberMap, get_number
+from comfreywind.decisions.portions.totals import NumberMap, get_number
 
 FLOW_SEPARATOR = '>'
 
--- a/comfreywind/decisions/portions/ledger.py
+++ b/comfreywind/decisions/portions/ledger.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from comfreywind.decisions.portions.number_map import NumberMap
 from comfreywind.decisions.portions.portion_row import PortionRow
+from comfreywind.decisions.portions.totals import NumberMap
 
 
 @dataclass(frozen=True, slots=True)
--- a/comfreywind/decisions/portions/ledger_changes.py
+++ b/comfreywind/decisions/portions/ledger_changes.py
@@ -4,14 +4,14 @@
 
 from comfreywind.decisions.portions.holder_name import is_settled, make_flow, split_flow
 from comfreywind.decisions.portions.ledger import Ledger
-from comfreywind.decisions.portions.number_map import (
+from comfreywind.decisions.portions.portion_row import PortionRow
+from comfreywind.decisions.portions.row_changes import record_flow
+from comfreywind.decisions.portions.totals import (
     NumberMap,
     add_number,
     get_number,
     raise_number,
 )
-from comfreywind.decisions.portions.portion_row import PortionRow
-from comfreywind.decisions.portions.row_changes import record_flow
 
 
 def count_held_units(ledger: Ledger) -> int:
--- a/comfreywind/decisions/portions/portion_row.py
+++ b/comfreywind/decisions/portions/portion_row.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from comfreywind.decisions.portions.number_map import NumberMap, sum_numbers
 from comfreywind.decisions.portions.reclaim import Reclaim
+from comfreywind.decisions.portions.totals import NumberMap, sum_numbers
 
 
 @dataclass(frozen=True, slots=True)
--- a/comfreywind/decisions/portions/row_changes.py
+++ b/comfreywind/decisions/portions/row_changes.py
@@ -3,14 +3,14 @@
 from dataclasses import replace
 
 from comfreywind.decisions.portions.holder_name import is_settled, split_flow, split_holder
-from comfreywind.decisions.portions.number_map import (
+from comfreywind.decisions.portions.portion_row import PortionRow
+from comfreywind.decisions.portions.reclaim import Reclaim
+from comfreywind.decisions.portions.totals import (
     NumberMap,
     add_number,
     get_number,
     raise_number,
 )
-from comfreywind.decisions.portions.portion_row import PortionRow
-from comfreywind.decisions.portions.reclaim import Reclaim
 
 
 def record_flow(row: PortionRow, flow: str, total: int) -> PortionRow:
--- a/comfreywind/entry/dispatch_policy.py
+++ b/comfreywind/entry/dispatch_policy.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from comfreywind.decisions.capacity_rule import CapacityRule, decide_capacity_rule
+from comfreywind.decisions.room_rule import CapacityRule, decide_capacity_rule
 from comfreywind.decisions.start_order import choose_team
 from comfreywind.entry.lane import Lane
 from comfreywind.entry.pool_queue import PoolQueue
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -4,7 +4,7 @@
 
 from comfreywind.bundle.rules import TeamRules
 from comfreywind.clock import Clock
-from comfreywind.decisions.capacity_rule import PoolCapacity
+from comfreywind.decisions.room_rule import PoolCapacity
 from comfreywind.decisions.slot_allocation import LoadsByTeam, SlotAllocation, allocate_slots
 from comfreywind.decisions.slot_rounding import compute_rounding_offset
 from comfreywind.decisions.urgent_reserve import count_reserved_slots
--- a/comfreywind/entry/portions/fence_keeper.py
+++ b/comfreywind/entry/portions/fence_keeper.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from comfreywind.clock import Clock
-from comfreywind.decisions.portions.fence_attempt import (
+from comfreywind.decisions.portions.fence_case import (
     FenceAttempt,
     add_agreement,
     collect_flows,
--- a/comfreywind/entry/portions/member_row.py
+++ b/comfreywind/entry/portions/member_row.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from comfreywind.decisions.portions.holder_name import make_holder
-from comfreywind.decisions.portions.number_map import NumberMap
+from comfreywind.decisions.portions.totals import NumberMap
 from comfreywind.entry.portions.portion_codec import decode_totals
 
 
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -5,6 +5,12 @@
 from dataclasses import replace
 
 from comfreywind.clock import Clock
+from comfreywind.decisions.portions.guard import (
+    SessionState,
+    is_committed,
+    is_session_valid,
+)
+from comfreywind.decisions.portions.guard_step import apply_session_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import (
     apply_row,
@@ -12,15 +18,9 @@
     is_blocked,
     list_flows_with,
 )
-from comfreywind.decisions.portions.number_map import NumberMap, sum_numbers
 from comfreywind.decisions.portions.session_effects import SessionEffect
 from comfreywind.decisions.portions.session_events import FenceObserved, SessionEvent
-from comfreywind.decisions.portions.session_state import (
-    SessionState,
-    is_committed,
-    is_session_valid,
-)
-from comfreywind.decisions.portions.session_transitions import apply_session_event
+from comfreywind.decisions.portions.totals import NumberMap, sum_numbers
 from comfreywind.entry.portions.portion_codec import make_resource, parse_team
 from comfreywind.entry.portions.portion_view import PortionView
 from comfreywind.entry.rules_view import RulesView
--- a/comfreywind/entry/portions/portion_codec.py
+++ b/comfreywind/entry/portions/portion_codec.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from comfreywind.decisions.portions.number_map import NumberMap
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.reclaim import Reclaim
+from comfreywind.decisions.portions.totals import NumberMap
 
 RESOURCE_PREFIX = 'team:'
 
--- a/comfreywind/entry/portions/session_keeper.py
+++ b/comfreywind/entry/portions/session_keeper.py
@@ -6,11 +6,11 @@
 import trio
 
 from comfreywind.clock import Clock
+from comfreywind.decisions.portions.guard import SessionState
 from comfreywind.decisions.portions.holder_name import make_holder
-from comfreywind.decisions.portions.number_map import get_number
 from comfreywind.decisions.portions.session_events import RenewalConfirmed
-from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.session_timing import SessionTiming
+from comfreywind.decisions.portions.totals import get_number
 from comfreywind.entry.portions.member_row import MemberRow, encode_member_row
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_view import PortionView
--- a/comfreywind/entry/portions/unit_exchange.py
+++ b/comfreywind/entry/portions/unit_exchange.py
@@ -3,7 +3,7 @@
 from comfreywind.clock import Clock
 from comfreywind.decisions.portions.holder_name import is_settled, split_holder
 from comfreywind.decisions.portions.ledger_changes import give_units, receive_units
-from comfreywind.decisions.portions.number_map import get_number
+from comfreywind.decisions.portions.totals import get_number
 from comfreywind.decisions.portions.unit_shares import UnitDemand, decide_transfer
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_codec import make_resource, parse_team
--- a/comfreywind/entry/target_pool.py
+++ b/comfreywind/entry/target_pool.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from comfreywind.decisions.capacity_rule import CapacityRule
+from comfreywind.decisions.room_rule import CapacityRule
 from comfreywind.decisions.target_choice import choose_target
 from comfreywind.entry.name_set import NameSet
 from comfreywind.entry.target_admission import TargetAdmission
--- a/comfreywind/scheduling/holder.py
+++ b/comfreywind/scheduling/holder.py
@@ -38,10 +38,10 @@
 from comfreywind.scheduling.pool_keeper import PoolKeeper
 from comfreywind.scheduling.pool_sizer import PoolSizer
 from comfreywind.scheduling.progress_journal import ProgressJournal
-from comfreywind.scheduling.reconciliation import Reconciliation
 from comfreywind.scheduling.row_feed import RowFeed
 from comfreywind.scheduling.rules_follower import RulesFollower
 from comfreywind.scheduling.scheduler_state import SchedulerState
+from comfreywind.scheduling.settlement import Reconciliation
 from comfreywind.scheduling.target_link import MAX_HOLD_WAIT_S, TargetLink
 from comfreywind.scheduling.target_registry import TargetRegistry
 from comfreywind.scheduling.term_keeper import HeldTerm, TermKeeper
--- a/tests/decisions/test_portion_decisions.py
+++ b/tests/decisions/test_portion_decisions.py
@@ -2,6 +2,8 @@
 
 import pytest
 
+from comfreywind.decisions.portions.guard import SessionState
+from comfreywind.decisions.portions.guard_step import apply_session_event
 from comfreywind.decisions.portions.ledger import Ledger
 from comfreywind.decisions.portions.ledger_changes import is_blocked
 from comfreywind.decisions.portions.portion_row import PortionRow
@@ -18,9 +20,7 @@
     PromiseRequested,
     RenewalObserved,
 )
-from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.session_timing import SessionTiming
-from comfreywind.decisions.portions.session_transitions import apply_session_event
 from comfreywind.decisions.portions.unit_shares import UnitDemand, decide_transfer
 
 ROW = PortionRow(10, 1, recorded=(('a@1', 4), ('b@1', 2)))
--- a/tests/model/fence_model.py
+++ b/tests/model/fence_model.py
@@ -14,12 +14,14 @@
 
 from minicheck import Protocol
 
-from comfreywind.decisions.portions.fence_attempt import (
+from comfreywind.decisions.portions.fence_case import (
     FenceAttempt,
     add_agreement,
     is_expired,
     list_missing_members,
 )
+from comfreywind.decisions.portions.guard import SessionState, is_session_valid
+from comfreywind.decisions.portions.guard_step import apply_session_event
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import (
     allocate_free_units,
@@ -36,9 +38,7 @@
     RenewalObserved,
     SessionEvent,
 )
-from comfreywind.decisions.portions.session_state import SessionState, is_session_valid
 from comfreywind.decisions.portions.session_timing import SessionTiming
-from comfreywind.decisions.portions.session_transitions import apply_session_event
 
 NOW = 10
 MAX_RUN = 1
--- a/tests/model/transfer_model.py
+++ b/tests/model/transfer_model.py
@@ -26,7 +26,6 @@
     record_flows,
     start_write,
 )
-from comfreywind.decisions.portions.number_map import NumberMap, get_number
 from comfreywind.decisions.portions.portion_row import PortionRow
 from comfreywind.decisions.portions.row_changes import (
     allocate_free_units,
@@ -35,6 +34,7 @@
     return_units,
     settle_holder,
 )
+from comfreywind.decisions.portions.totals import NumberMap, get_number
 
 NAMES = ('a@1', 'b@1')
 THIRD = 'c@1'
--- a/tests/portions/test_unit_turns.py
+++ b/tests/portions/test_unit_turns.py
@@ -10,9 +10,9 @@
 
 import pytest
 
+from comfreywind.decisions.portions.guard import SessionState
 from comfreywind.decisions.portions.holder_name import make_holder
 from comfreywind.decisions.portions.portion_row import PortionRow
-from comfreywind.decisions.portions.session_state import SessionState
 from comfreywind.decisions.portions.session_timing import SessionTiming
 from comfreywind.entry.portions.portion_book import PortionBook
 from comfreywind.entry.portions.portion_codec import make_resource
--- a/tests/test_share_decisions.py
+++ b/tests/test_share_decisions.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from comfreywind.bundle.rules import TeamRules
-from comfreywind.decisions.capacity_rule import CapacityRule, PoolCapacity, decide_capacity_rule
 from comfreywind.decisions.fair_share import ShareClaim, compute_fair_shares
+from comfreywind.decisions.room_rule import CapacityRule, PoolCapacity, decide_capacity_rule
 from comfreywind.decisions.service_time import (
     WAIT_MARGIN,
     ServiceTime,
