--- a/comfreywind/entry/dispatch_policy.py
+++ b/comfreywind/entry/dispatch_policy.py
@@ -1,4 +1,4 @@
-"""Policies that decide which waiting request starts where."""
+"""Policies for the order of starts and the choice of targets."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -13,23 +13,27 @@
 
 
 class DispatchPolicy(Protocol):
-    """Order of starts, choice of targets, and whether requests are refused early."""
+    """Chooses the next request and its target.
+
+    `refuses_early` rejects requests that are not expected to meet their deadline; `keeps_reserve`
+    keeps slots free for urgent work.
+    """
 
     refuses_early: bool
     keeps_reserve: bool
 
     def choose_team(self, candidates: Iterable[TeamQueue]) -> TeamQueue | None:
-        """Return the team whose request starts next, or None without candidates."""
+        """Return the team whose request starts next, or None if there are no candidates."""
 
     def choose_lane(self, team: TeamQueue) -> Lane:
-        """Return the lane of the team that goes first."""
+        """Return the lane of the team that is served first."""
 
     def choose_target(self, pool: PoolQueue, urgent: bool, ticket: Ticket) -> VmEntry | None:
-        """Return the target for a request, or None when it has to wait."""
+        """Return the target for a request, or None if the request has to wait."""
 
 
 class SharesPolicy:
-    """Fair shares, urgent work first, the less loaded of two random targets."""
+    """Weighted fair shares with priority for urgent work; targets by power of two choices."""
 
     refuses_early = True
     keeps_reserve = True
@@ -39,17 +43,17 @@
         return choose_team(candidates)
 
     def choose_lane(self, team: TeamQueue) -> Lane:
-        """Return the urgent lane when it is not empty."""
+        """Return the urgent lane unless it is empty."""
         return team.urgent if len(team.urgent) else team.normal
 
     def choose_target(self, pool: PoolQueue, urgent: bool, ticket: Ticket) -> VmEntry | None:
-        """Return the less loaded of two random targets with room."""
-        rule = decide_capacity_rule(pool.make_room(), urgent)
+        """Return the less loaded of two random targets with free capacity."""
+        rule = decide_capacity_rule(pool.make_pool_capacity(), urgent)
         return None if rule is CapacityRule.NONE else pool.targets.choose(rule, ticket)
 
 
 class NaivePolicy:
-    """First in, first out over all teams and any target; the baseline of the bench."""
+    """First in, first out across teams, with random targets; the baseline of the benchmarks."""
 
     refuses_early = False
     keeps_reserve = False
@@ -64,10 +68,10 @@
         return min(lanes, key=lambda lane: next(lane.peek(1)).number)
 
     def choose_target(self, pool: PoolQueue, urgent: bool, ticket: Ticket) -> VmEntry | None:
-        """Return a random target to which this entry has less outstanding than its slots."""
+        """Return a random target where this entry has fewer requests than the target has slots."""
         return pool.targets.choose_blindly(ticket)
 
 
 def make_policy(name: str) -> DispatchPolicy:
-    """Return the policy that the setting `policy` names."""
+    """Return the policy named by the setting `policy`."""
     return NaivePolicy() if name == 'naive' else SharesPolicy()
--- a/comfreywind/entry/dispatcher.py
+++ b/comfreywind/entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""Gives waiting requests a unit of their team and a place at a target."""
+"""Assigns a unit of the team's ceiling and a slot at a target to each waiting request."""
 
 import enum
 import itertools
@@ -34,30 +34,31 @@
 from comfreywind.platform.vm_entry import VmEntry
 
 RETRY_AFTER_S = 1.0
-# A target that stated that it is full is not asked again for one period of the load reports.
-FULL_MARK_S = 0.25
-# Requests behind the first one that are looked at when the first excludes all targets with room.
-LOOK_AHEAD = 4
+# How long a target that rejected a request counts as full: one period of the load reports.
+TARGET_FULL_S = 0.25
+# Number of requests at the front of a lane that are examined when those before them exclude every
+# target with a free slot.
+LOOKAHEAD_LIMIT = 4
 SLOTS_UNKNOWN = 0
 NO_LOAD: Mapping[str, int] = {}
-# Bounds a report that goes to every peer four times a second. The targets with most requests are
-# those that a peer might find full.
+# Limits the size of a report that goes to every peer four times a second. The targets with the most
+# requests are reported, because a peer is most likely to find those full.
 REPORTED_TARGETS_LIMIT = 64
 
 
 class StartResult(enum.Enum):
-    """What came of the attempt to start a team's next request."""
+    """Result of an attempt to start a team's next request."""
 
     PROGRESS = 'progress'
     TEAM_BLOCKED = 'team-blocked'
-    NO_ROOM = 'no-room'
+    NO_CAPACITY = 'no-room'
 
 
 class Dispatcher:
-    """Places tickets; a ticket waits in its queue until its deadline.
+    """Assigns targets to tickets; a ticket waits in its queue until its deadline.
 
-    Nothing polls: requests are started when one arrives, a request ends, units arrive, the fleet or
-    the rules change, and when new loads of the peers are taken.
+    The dispatcher is event-driven and does not poll: it starts requests when one arrives or ends,
+    when units arrive, when the fleet or the rules change, and when peers report new loads.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
         data_centre: str = '',
         generator: random.Random | None = None,
     ) -> None:
-        """Start with nothing waiting and follow the views and the units."""
+        """Start with no waiting requests and subscribe to the views and to the units."""
         self._rules_view = rules_view
         self._fleet_view = fleet_view
         self._units = units
@@ -92,37 +93,38 @@
         self.refresh_fleet()
 
     async def acquire(self, ticket: Ticket) -> Placement:
-        """Return a place at a target; raise RefusalError when there is none in time."""
-        pool = self._find_pool(ticket.queue.pool)
-        refusal = self._find_refusal(pool, ticket)
+        """Reserve a slot and a unit; raise RefusalError if none is free before the deadline."""
+        pool = self._get_pool(ticket.queue.pool)
+        refusal = self._check_admission(pool, ticket)
         if refusal is not None:
             raise RefusalError(refusal)
         number = next(self._numbers)
         waiter = Waiter(ticket, -number if ticket.at_front else number)
-        return await self._wait_for_place(pool, waiter)
+        return await self._wait_for_placement(pool, waiter)
 
     async def reacquire(self, ticket: Ticket, placement: Placement) -> Placement:
-        """Return another place for a request that the target of `placement` has not run.
+        """Reserve another slot for a request that the target of `placement` rejected as full.
 
-        The placement is given back, its target counts as full for a moment, and the request waits
-        at the front of its queue. Raises RefusalError when there is no place in time.
+        The old placement is released, its target counts as full for `TARGET_FULL_S`, and the
+        request waits at the front of its queue. Raises RefusalError when no slot is free in time.
         """
-        pool = self._find_pool(placement.pool)
-        pool.undo_start(placement, self._clock.read_monotonic_s() + FULL_MARK_S)
+        pool = self._get_pool(placement.pool)
+        pool.undo_start(placement, self._clock.read_monotonic_s() + TARGET_FULL_S)
         self._return_unit(placement)
         return await self.acquire(replace(ticket, at_front=True))
 
     def release(self, placement: Placement) -> None:
-        """Return the unit and the slot of a request that has ended."""
-        pool = self._find_pool(placement.pool)
-        pool.note_finish(placement, self._clock.read_monotonic_s())
+        """Release the unit and the slot of a request that has ended."""
+        pool = self._get_pool(placement.pool)
+        pool.record_finish(placement, self._clock.read_monotonic_s())
         self._return_unit(placement)
         self._start_waiting(pool)
 
     def read_outstanding(self) -> dict[str, int]:
         """Return the number of requests that hold a slot, by target, without zeros.
 
-        A target that moves between pools may have requests of both.
+        The counts of all pools are added, since a target that moved between pools may have
+        requests of both.
         """
         outstanding: Counter[str] = Counter()
         for pool in self._pools.values():
@@ -130,38 +132,38 @@
         return dict(outstanding)
 
     def wake_team(self, team: str) -> None:
-        """Start what waits for a unit of the team."""
+        """Start requests that wait for a unit of the team."""
         pool_names = self._unit_demand.pop_pools(team)
         for pool_name in pool_names:
             pool = self._pools[pool_name]
             pool.mark_unit_available(team)
             self._start_waiting(pool)
         if pool_names:
-            self._unit_demand.settle(team)
+            self._unit_demand.clear_if_satisfied(team)
 
     def refuse_waiting(self, refusal: Refusal) -> None:
-        """End all waiting requests with the refusal."""
+        """Reject all waiting requests with the refusal."""
         for pool in self._pools.values():
             for waiter in pool.list_waiting():
-                self._end_waiting(pool, waiter, refusal)
+                self._reject(pool, waiter, refusal)
 
     def refresh_fleet(self) -> None:
-        """Take the usable VMs and the rules from their views."""
+        """Apply the usable VMs and the rules of the views and start what they allow."""
         groups = self._fleet_view.group_usable()
         self._pool_by_target = {vm.name: pool for pool, vms in groups.items() for vm in vms}
         for name, pool in self._pools.items():
-            pool.targets.replace_vms(groups.get(name, ()), self._read_slots(name))
+            pool.targets.replace_vms(groups.get(name, ()), self._get_slots_per_vm(name))
         self._start_all()
 
     def make_report(self) -> LoadReport:
-        """Return the load of this entry for its peers."""
+        """Return the report of this entry's load that is sent to its peers."""
         loads = {name: pool.make_loads() for name, pool in self._pools.items()}
         named_loads = {name: teams for name, teams in loads.items() if teams}
         outstanding = Counter(self.read_outstanding())
         return LoadReport(named_loads, dict(outstanding.most_common(REPORTED_TARGETS_LIMIT)))
 
     def apply_reports(self, reports: Mapping[str, LoadReport]) -> None:
-        """Take the recent reports of all peers and divide the pools with any load anew."""
+        """Apply the recent reports of all peers and reallocate the slots of pools with load."""
         rules = self._rules_view.rules
         team_rules = rules.teams if rules else {}
         urgent_pools = self._list_urgent_pools()
@@ -171,31 +173,31 @@
             pool.targets.expire_statements(now_s)
             pool.targets.replace_peer_loads(outstanding.get(name, NO_LOAD))
             peer_loads = read_peer_loads(reports, name)
-            if pool.is_active or any(peer_loads.values()) or pool.plan.entitlements:
+            if pool.is_active or any(peer_loads.values()) or pool.allocation.entitlements:
                 keeps_reserve = self._policy.keeps_reserve and name in urgent_pools
-                pool.renew_plan(
+                pool.update_allocation(
                     self._entry_name, peer_loads, team_rules, keeps_reserve, self._clock
                 )
         self._start_all()
 
-    async def _wait_for_place(self, pool: PoolQueue, waiter: Waiter) -> Placement:
+    async def _wait_for_placement(self, pool: PoolQueue, waiter: Waiter) -> Placement:
         self._enqueue(pool, waiter)
         if waiter.placement is None and waiter.refusal is None:
             await self._sleep_until_placed(pool, waiter)
         if waiter.placement is not None:
             return waiter.placement
-        raise RefusalError(waiter.refusal or _refuse_waiting(pool))
+        raise RefusalError(waiter.refusal or _make_waiting_refusal(pool))
 
     async def _sleep_until_placed(self, pool: PoolQueue, waiter: Waiter) -> None:
-        """Sleep; a deadline or a cancellation takes the request out of its queue at once."""
+        """Sleep until woken; a deadline or a cancellation dequeues the request at once."""
 
         def leave_queue(_raise_cancel: object) -> trio.lowlevel.Abort:
             self._dequeue(pool, waiter)
             return trio.lowlevel.Abort.SUCCEEDED
 
         waiter.task = trio.lowlevel.current_task()
-        left_s = waiter.ticket.deadline_s - self._clock.read_monotonic_s()
-        with trio.move_on_after(max(0, left_s)):
+        remaining_s = waiter.ticket.deadline_s - self._clock.read_monotonic_s()
+        with trio.move_on_after(max(0, remaining_s)):
             await trio.lowlevel.wait_task_rescheduled(leave_queue)
 
     def _enqueue(self, pool: PoolQueue, waiter: Waiter) -> None:
@@ -207,31 +209,31 @@
         if pool.remove(waiter):
             self._unit_demand.add_waiting(waiter.ticket.team, -1)
 
-    def _find_refusal(self, pool: PoolQueue, ticket: Ticket) -> Refusal | None:
-        team = pool.find_team(ticket.team)
-        if self._read_ceiling(ticket.team) == 0:
-            return _refuse(RefusalReason.CEILING_REACHED, 'the ceiling of the team is 0')
+    def _check_admission(self, pool: PoolQueue, ticket: Ticket) -> Refusal | None:
+        team = pool.get_team_queue(ticket.team)
+        if self._get_ceiling(ticket.team) == 0:
+            return _make_refusal(RefusalReason.CEILING_REACHED, 'the ceiling of the team is 0')
         if ticket.excluded_targets and not pool.targets.has_allowed(ticket.excluded_targets):
-            return _refuse(RefusalReason.NO_TARGET, 'no other target is available')
+            return _make_refusal(RefusalReason.NO_TARGET, 'no other target is available')
         if ticket.at_front:
             return None
         if team.count_waiting(ticket.queue.name) >= ticket.queue.queue_limit:
-            return _refuse(RefusalReason.QUEUE_FULL, 'too many wait')
-        return self._find_early_refusal(team, ticket) if self._policy.refuses_early else None
+            return _make_refusal(RefusalReason.QUEUE_FULL, 'too many wait')
+        return self._check_deadline(team, ticket) if self._policy.refuses_early else None
 
-    def _find_early_refusal(self, team: TeamQueue, ticket: Ticket) -> Refusal | None:
+    def _check_deadline(self, team: TeamQueue, ticket: Ticket) -> Refusal | None:
         now_s = self._clock.read_monotonic_s()
-        service = team.read_service(now_s)
+        service = team.get_service_time(now_s)
         ahead = len(team.urgent) if ticket.queue.urgent else team.waiting
         wait_s = estimate_wait_s(service, ahead, max(team.quota, team.running))
-        left_s = ticket.deadline_s - now_s
-        if can_meet_deadline(service, wait_s, left_s):
+        remaining_s = ticket.deadline_s - now_s
+        if can_meet_deadline(service, wait_s, remaining_s):
             return None
-        if not ahead and may_meet_deadline(service, left_s):
+        if not ahead and may_meet_deadline(service, remaining_s):
             return None
         return Refusal(
             RefusalReason.DEADLINE_IN_QUEUE,
-            f'{left_s:.3f} s are left, the wait is about {wait_s:.3f} s and a run takes '
+            f'{remaining_s:.3f} s are left, the wait is about {wait_s:.3f} s and a run takes '
             f'{service.mean_s:.3f} s',
             retry_after_s=max(RETRY_AFTER_S, wait_s),
         )
@@ -248,51 +250,51 @@
             progress = self._start_next(pool)
 
     def _start_next(self, pool: PoolQueue) -> bool:
-        """Start one request or refuse a late one; return False when nothing can start now."""
+        """Start one request or reject a late one; return False when nothing can start now."""
         candidates = list(pool.list_candidates())
         while candidates:
             team = self._policy.choose_team(candidates)
             if team is None:
                 return False
-            start_result = self._try_start(pool, team)
+            start_result = self._start_from_lane(pool, team)
             if start_result is not StartResult.TEAM_BLOCKED:
                 return start_result is StartResult.PROGRESS
             candidates.remove(team)
         return False
 
-    def _try_start(self, pool: PoolQueue, team: TeamQueue) -> StartResult:
+    def _start_from_lane(self, pool: PoolQueue, team: TeamQueue) -> StartResult:
         lane = self._policy.choose_lane(team)
         urgent_first = lane is team.urgent and team.urgent_first
-        for waiter in lane.peek(LOOK_AHEAD):
+        for waiter in lane.peek(LOOKAHEAD_LIMIT):
             if self._is_too_late(team, waiter):
-                return self._refuse_late(pool, waiter)
+                return self._reject_late(pool, waiter)
             target = self._policy.choose_target(pool, urgent_first, waiter.ticket)
             if target is not None:
-                return self._take_unit_and_start(pool, team, waiter, target)
+                return self._acquire_unit_and_start(pool, team, waiter, target)
             if not waiter.ticket.excluded_targets:
-                return StartResult.NO_ROOM
+                return StartResult.NO_CAPACITY
         return StartResult.TEAM_BLOCKED
 
     def _is_too_late(self, team: TeamQueue, waiter: Waiter) -> bool:
         now_s = self._clock.read_monotonic_s()
-        left_s = waiter.ticket.deadline_s - now_s
+        remaining_s = waiter.ticket.deadline_s - now_s
         if not self._policy.refuses_early:
-            return left_s <= 0
-        service = team.read_service(now_s)
+            return remaining_s <= 0
+        service = team.get_service_time(now_s)
         if team.waiting > 1:
-            return not can_meet_deadline(service, 0, left_s)
-        return not may_meet_deadline(service, left_s)
+            return not can_meet_deadline(service, 0, remaining_s)
+        return not may_meet_deadline(service, remaining_s)
 
-    def _refuse_late(self, pool: PoolQueue, waiter: Waiter) -> StartResult:
-        self._end_waiting(pool, waiter, _refuse_waiting(pool))
+    def _reject_late(self, pool: PoolQueue, waiter: Waiter) -> StartResult:
+        self._reject(pool, waiter, _make_waiting_refusal(pool))
         return StartResult.PROGRESS
 
-    def _end_waiting(self, pool: PoolQueue, waiter: Waiter, refusal: Refusal) -> None:
+    def _reject(self, pool: PoolQueue, waiter: Waiter, refusal: Refusal) -> None:
         self._dequeue(pool, waiter)
         waiter.refusal = refusal
         _wake_task(waiter)
 
-    def _take_unit_and_start(
+    def _acquire_unit_and_start(
         self, pool: PoolQueue, team: TeamQueue, waiter: Waiter, target: VmEntry
     ) -> StartResult:
         ticket = waiter.ticket
@@ -308,7 +310,7 @@
             pool=ticket.queue.pool,
             started_s=self._clock.read_monotonic_s(),
             urgent=ticket.queue.urgent,
-            charged_s=pool.note_start(team, ticket.queue.urgent),
+            charged_s=pool.record_start(team, ticket.queue.urgent),
         )
         _wake_task(waiter)
         return StartResult.PROGRESS
@@ -317,19 +319,21 @@
         self._units.give_back(placement.team)
         self.wake_team(placement.team)
 
-    def _find_pool(self, name: str) -> PoolQueue:
+    def _get_pool(self, name: str) -> PoolQueue:
         pool = self._pools.get(name)
         if pool is None:
             pool = PoolQueue(TargetPool(self._data_centre, self._admission, self._generator))
             self._pools[name] = pool
-            pool.targets.replace_vms(self._fleet_view.list_usable(name), self._read_slots(name))
+            pool.targets.replace_vms(
+                self._fleet_view.list_usable(name), self._get_slots_per_vm(name)
+            )
         return pool
 
-    def _read_slots(self, pool: str) -> int:
+    def _get_slots_per_vm(self, pool: str) -> int:
         rules = self._rules_view.rules
         return rules.pools[pool].slots_per_vm if rules and pool in rules.pools else SLOTS_UNKNOWN
 
-    def _read_ceiling(self, team: str) -> int | None:
+    def _get_ceiling(self, team: str) -> int | None:
         rules = self._rules_view.rules
         return rules.teams[team].ceiling_units if rules and team in rules.teams else None
 
@@ -344,11 +348,13 @@
         trio.lowlevel.reschedule(waiter.task)
 
 
-def _refuse(reason: RefusalReason, detail: str) -> Refusal:
+def _make_refusal(reason: RefusalReason, detail: str) -> Refusal:
     return Refusal(reason, detail, retry_after_s=RETRY_AFTER_S)
 
 
-def _refuse_waiting(pool: PoolQueue) -> Refusal:
+def _make_waiting_refusal(pool: PoolQueue) -> Refusal:
     if not pool.targets.capacity:
-        return _refuse(RefusalReason.NO_TARGET, 'the pool has no target that takes work')
-    return _refuse(RefusalReason.DEADLINE_IN_QUEUE, 'the deadline passed while the request waited')
+        return _make_refusal(RefusalReason.NO_TARGET, 'the pool has no target that takes work')
+    return _make_refusal(
+        RefusalReason.DEADLINE_IN_QUEUE, 'the deadline passed while the request waited'
+    )
--- a/comfreywind/entry/even_split_units.py
+++ b/comfreywind/entry/even_split_units.py
@@ -1,4 +1,4 @@
-"""An even split of the ceilings: the simplest policy, kept as the baseline of the bench."""
+"""A fixed, even split of the ceilings; the baseline of the benchmarks."""
 
 from collections import Counter
 
@@ -7,16 +7,16 @@
 
 
 class EvenSplitUnits:
-    """Gives each of a fixed number of entries the same part of every ceiling."""
+    """Gives each of a fixed number of entries an equal share of every ceiling."""
 
     def __init__(self, rules_view: RulesView, entries_count: int) -> None:
-        """Split by the number of entries in the settings."""
+        """Divide every ceiling by `entries_count`, the number of entries in the settings."""
         self._rules_view = rules_view
         self._entries_count = entries_count
         self._used: Counter[str] = Counter()
 
     def try_take(self, team: str) -> bool:
-        """Take one unit of this entry's part if one is free."""
+        """Acquire one unit of this entry's share if one is free."""
         rules = self._rules_view.rules
         if rules is None or team not in rules.teams:
             return False
@@ -26,21 +26,21 @@
         return True
 
     def give_back(self, team: str) -> None:
-        """Return a unit."""
+        """Release a unit of this entry's share."""
         self._used[team] -= 1
 
     def report_waiting(self, team: str, waiting_count: int) -> None:
         """Ignore the demand; the split is fixed."""
 
     def read_session_left_s(self) -> float:
-        """Return the freshness that is left, since nothing is leased here."""
+        """Return how long the rules stay fresh, since this policy has no session that expires."""
         return self._rules_view.read_fresh_left_s()
 
     def subscribe(self, wake_team: WakeTeam) -> None:
-        """Ignore the function; units come back through `give_back` only."""
+        """Ignore the function; units become free only through `give_back`."""
 
     async def run(self) -> None:
         """Do nothing; the split is fixed."""
 
     async def leave(self) -> None:
-        """Do nothing; the split stays as it is when entries leave."""
+        """Do nothing; the share of an entry that leaves is not redistributed."""
--- a/comfreywind/entry/lane.py
+++ b/comfreywind/entry/lane.py
@@ -1,4 +1,4 @@
-"""Waiting requests in the order of their start."""
+"""FIFO queue of waiting requests."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -8,10 +8,10 @@
 
 
 class Lane:
-    """First in, first out; any request leaves in constant time, wherever it stands.
+    """FIFO queue with removal in constant time at any position.
 
-    An OrderedDict is used because finding the first key of a plain dict takes longer with each key
-    that was removed from its front.
+    Uses an OrderedDict: in a plain dict, finding the first key takes time proportional to the
+    number of keys that were removed before it.
     """
 
     def __init__(self) -> None:
@@ -19,11 +19,11 @@
         self._waiters: OrderedDict[int, Waiter] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return len(self._waiters)
 
     def add(self, waiter: Waiter, at_front: bool) -> None:
-        """Add a request at the back, or at the front when it had been placed before."""
+        """Add a request at the back, or at the front if `at_front` is set."""
         self._waiters[waiter.number] = waiter
         if at_front:
             self._waiters.move_to_end(waiter.number, last=False)
@@ -33,5 +33,5 @@
         return self._waiters.pop(waiter.number, None) is not None
 
     def peek(self, limit: int) -> Iterator[Waiter]:
-        """Return the first requests, at most `limit`."""
+        """Return the first requests, at most `limit`, without removing them."""
         return islice(self._waiters.values(), limit)
--- a/comfreywind/entry/placement.py
+++ b/comfreywind/entry/placement.py
@@ -1,4 +1,4 @@
-"""A place at a target."""
+"""A slot that is reserved at a target."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The target chosen for a ticket; one slot there and one unit of the team are held.
+    """The target chosen for a ticket; holds one slot there and one unit of the team.
 
-    `started_s` is the monotonic time in seconds at which it was made, `charged_s` the run time that
-    the order of starts expects until the request ends.
+    `started_s` is the monotonic time in seconds of the reservation. `charged_s` is the run time in
+    seconds that was charged to the team at the start and is corrected when the request ends.
     """
 
     target: VmEntry
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -15,28 +15,28 @@
 
 
 class PoolQueue:
-    """The queues of all teams in one pool, its targets, and the plan that divides them."""
+    """The queues of all teams in one pool, its targets, and the allocation of their slots."""
 
     def __init__(self, targets: TargetPool) -> None:
-        """Start with nothing waiting."""
+        """Start with no waiting requests."""
         self.targets = targets
         self.teams: dict[str, TeamQueue] = {}
-        self.plan = SlotAllocation()
+        self.allocation = SlotAllocation()
         self.running = 0
-        # Teams with running or waiting requests; the others cost nothing in a plan or a report.
-        self._active: dict[str, TeamQueue] = {}
+        # Teams with running or waiting requests; only these are part of allocations and reports.
+        self._active_teams: dict[str, TeamQueue] = {}
         self._weights: dict[str, float] = {}
-        self._with_waiting: dict[str, TeamQueue] = {}
+        self._waiting_teams: dict[str, TeamQueue] = {}
         self._virtual_time_s: float = 0
         self._reserved_slots = 0
 
     @property
     def is_active(self) -> bool:
-        """Return whether some team has or had requests since the last plan."""
-        return len(self._active) > 0
+        """Return whether any team has had requests since the last allocation."""
+        return len(self._active_teams) > 0
 
-    def find_team(self, team: str) -> TeamQueue:
-        """Return the queue of the team, made when it is first needed."""
+    def get_team_queue(self, team: str) -> TeamQueue:
+        """Return the queue of the team; create it on first use."""
         team_queue = self.teams.get(team)
         if team_queue is None:
             team_queue = TeamQueue(team)
@@ -45,7 +45,7 @@
 
     def list_candidates(self) -> Iterator[TeamQueue]:
         """Return the teams with waiting requests that do not lack a unit."""
-        return (team for team in self._with_waiting.values() if not team.lacks_unit)
+        return (team for team in self._waiting_teams.values() if not team.lacks_unit)
 
     def list_waiting(self) -> list[Waiter]:
         """Return all waiting requests."""
@@ -54,43 +54,43 @@
 
     def add(self, waiter: Waiter) -> None:
         """Add a waiting request."""
-        team_queue = self.find_team(waiter.ticket.team)
-        if team_queue.team not in self._active:
+        team_queue = self.get_team_queue(waiter.ticket.team)
+        if team_queue.team not in self._active_teams:
             self._activate(team_queue)
         if not team_queue.waiting:
             team_queue.catch_up(self._virtual_time_s)
-            self._with_waiting[team_queue.team] = team_queue
+            self._waiting_teams[team_queue.team] = team_queue
         team_queue.add(waiter)
 
     def remove(self, waiter: Waiter) -> bool:
         """Remove a request and return whether it was waiting."""
-        team_queue = self.find_team(waiter.ticket.team)
+        team_queue = self.get_team_queue(waiter.ticket.team)
         removed = team_queue.remove(waiter)
         if not team_queue.waiting:
-            self._with_waiting.pop(team_queue.team, None)
+            self._waiting_teams.pop(team_queue.team, None)
         return removed
 
-    def note_start(self, team_queue: TeamQueue, urgent: bool) -> float:
-        """Count a start and return the run time in seconds that was charged for it."""
+    def record_start(self, team_queue: TeamQueue, urgent: bool) -> float:
+        """Record a start and return the run time in seconds that was charged for it."""
         self.running += 1
         if not urgent:
             self._virtual_time_s = max(self._virtual_time_s, team_queue.virtual_time_s)
         return team_queue.start(urgent)
 
-    def note_finish(self, placement: Placement, now_s: float) -> None:
-        """Count the end of a run."""
+    def record_finish(self, placement: Placement, now_s: float) -> None:
+        """Record the end of a run and free its slot."""
         self.running -= 1
-        self.find_team(placement.team).finish(placement, now_s)
+        self.get_team_queue(placement.team).finish(placement, now_s)
         self.targets.free(placement.target.name)
 
     def undo_start(self, placement: Placement, full_until_s: float) -> None:
-        """Count a start as not made, because the target stated that it is full."""
+        """Revert a start, because the target rejected the request as full."""
         self.running -= 1
-        self.find_team(placement.team).undo_start(placement)
+        self.get_team_queue(placement.team).undo_start(placement)
         self.targets.undo_take(placement.target.name, full_until_s)
 
     def mark_unit_available(self, team: str) -> bool:
-        """Note that the team may have a unit again; return whether it had lacked one."""
+        """Let the team compete for starts again; return whether it had lacked a unit."""
         team_queue = self.teams.get(team)
         if team_queue is None or not team_queue.lacks_unit:
             return False
@@ -98,23 +98,23 @@
         team_queue.catch_up(self._virtual_time_s)
         return True
 
-    def make_room(self) -> PoolCapacity:
-        """Return the figures that decide where the next request may go."""
+    def make_pool_capacity(self) -> PoolCapacity:
+        """Return the capacity figures that decide which targets the next request may use."""
         return PoolCapacity(
             running=self.running,
-            quota_slots=self.plan.slots,
+            quota_slots=self.allocation.slots,
             free_slots=self.targets.free_slots,
             reserved_slots=self._reserved_slots,
-            urgent_ready_at_peers=self.plan.urgent_ready_at_peers,
-            peers_below_quota=self.plan.peers_below_quota,
+            urgent_ready_at_peers=self.allocation.urgent_ready_at_peers,
+            peers_below_quota=self.allocation.peers_below_quota,
         )
 
     def make_loads(self) -> dict[str, tuple[int, ...]]:
-        """Return the load of each team that has any, as it is reported to peers."""
-        loads = {name: team.make_load() for name, team in self._active.items()}
+        """Return the load of each team with demand, in the format of the reports to peers."""
+        loads = {name: team.make_load() for name, team in self._active_teams.items()}
         return {name: load.to_counts() for name, load in loads.items() if load.demand}
 
-    def renew_plan(
+    def update_allocation(
         self,
         own_name: str,
         peer_loads: Mapping[str, LoadsByTeam],
@@ -122,39 +122,45 @@
         keeps_reserve: bool,
         clock: Clock,
     ) -> None:
-        """Make the plan from the current loads."""
+        """Compute the reserve and the allocation of slots from the current loads."""
         now_s = clock.read_monotonic_s()
-        self._active = {name: team for name, team in self._active.items() if team.is_active}
+        self._active_teams = {
+            name: team for name, team in self._active_teams.items() if team.is_active
+        }
         self._weights = {name: team.weight for name, team in team_rules.items()}
-        own_loads = {name: team.make_load() for name, team in self._active.items()}
+        own_loads = {name: team.make_load() for name, team in self._active_teams.items()}
         loads = {**peer_loads, own_name: own_loads}
         self._reserved_slots = 0
         if keeps_reserve:
             self._reserved_slots = count_reserved_slots(
-                self.targets.capacity, self._read_mean_run_s(now_s)
+                self.targets.capacity, self._compute_mean_run_s(now_s)
             )
         capacity = self.targets.capacity - self._reserved_slots
         offset = make_offset(clock.read_utc().timestamp())
-        self.plan = allocate_slots(own_name, loads, team_rules, capacity, offset)
-        for team in self._active.values():
-            self._apply_plan(team)
+        self.allocation = allocate_slots(own_name, loads, team_rules, capacity, offset)
+        for team in self._active_teams.values():
+            self._apply_allocation(team)
 
     def _activate(self, team: TeamQueue) -> None:
-        self._active[team.team] = team
-        self._apply_plan(team)
-
-    def _apply_plan(self, team: TeamQueue) -> None:
-        quota = self.plan.quotas.get(team.team, 0)
-        entitlement = self.plan.entitlements.get(team.team)
-        running = self.plan.urgent_running.get(team.team, 0)
-        team.quota = quota or self._weights.get(team.team, 1) * self.plan.default_quota_per_weight
+        self._active_teams[team.team] = team
+        self._apply_allocation(team)
+
+    def _apply_allocation(self, team: TeamQueue) -> None:
+        quota = self.allocation.quotas.get(team.team, 0)
+        entitlement = self.allocation.entitlements.get(team.team)
+        running = self.allocation.urgent_running.get(team.team, 0)
+        team.quota = (
+            quota or self._weights.get(team.team, 1) * self.allocation.default_quota_per_weight
+        )
         team.urgent_allowed = entitlement is None or running < max(1, entitlement)
 
-    def _read_mean_run_s(self, now_s: float) -> float:
-        """Return the mean run time at which the running work ends as often as it does now."""
-        services = [(team.running, team.read_service(now_s)) for team in self._active.values()]
+    def _compute_mean_run_s(self, now_s: float) -> float:
+        """Return the mean run time in seconds, weighted so that it gives the current rate of ends."""
+        services = [
+            (team.running, team.get_service_time(now_s)) for team in self._active_teams.values()
+        ]
         known = [(running, service.mean_s) for running, service in services if service.trusted]
-        ends_per_s = sum(running / mean_s for running, mean_s in known if mean_s > 0)
-        if not ends_per_s:
+        completions_per_s = sum(running / mean_s for running, mean_s in known if mean_s > 0)
+        if not completions_per_s:
             return max((mean_s for _, mean_s in known), default=0)
-        return sum(running for running, _ in known) / ends_per_s
+        return sum(running for running, _ in known) / completions_per_s
--- a/comfreywind/entry/team_queue.py
+++ b/comfreywind/entry/team_queue.py
@@ -1,4 +1,4 @@
-"""Requests of one team in one pool: those that wait and those that run."""
+"""Waiting and running requests of one team in one pool."""
 
 from collections import Counter
 
@@ -9,18 +9,18 @@
 from comfreywind.entry.placement import Placement
 from comfreywind.entry.waiter import Waiter
 
-# An estimate that no run has confirmed for longer is dropped, because it would otherwise go on
-# refusing the very requests that could correct it.
+# Time after the last completed run when the run time estimate is dropped. While an outdated estimate
+# rejects all requests, no run can correct it.
 ESTIMATE_TTL_S = 10
-# Charged for a start before any run was measured.
-UNKNOWN_RUN_S = 0.1
+# Charged for a start while the team has no run time estimate.
+DEFAULT_RUN_S = 0.1
 
 
 class TeamQueue:
-    """Waiting requests in an urgent and a normal lane, and the service that the team received."""
+    """Waiting requests in an urgent and a normal lane, and the virtual time of the team."""
 
     def __init__(self, team: str) -> None:
-        """Start with nothing waiting or running."""
+        """Start with no waiting or running requests."""
         self.team = team
         self.urgent = Lane()
         self.normal = Lane()
@@ -36,17 +36,17 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return len(self.urgent) + len(self.normal)
 
     @property
     def is_active(self) -> bool:
-        """Return whether requests wait or run."""
+        """Return whether any requests are waiting or running."""
         return self.running > 0 or self.waiting > 0
 
     @property
     def urgent_first(self) -> bool:
-        """Return whether urgent work waits that is within the team's entitlement."""
+        """Return whether urgent requests wait and the team's entitlement allows to start them."""
         return self.urgent_allowed and len(self.urgent) > 0
 
     @property
@@ -56,35 +56,35 @@
         return min(first)
 
     def count_waiting(self, queue: str) -> int:
-        """Return how many wait in the queue."""
+        """Return the number of waiting requests of the queue."""
         return self._waiting_by_queue[queue]
 
-    def find_lane(self, waiter: Waiter) -> Lane:
+    def get_lane(self, waiter: Waiter) -> Lane:
         """Return the lane that the request belongs to."""
         return self.urgent if waiter.ticket.queue.urgent else self.normal
 
     def add(self, waiter: Waiter) -> None:
         """Add a waiting request."""
-        self.find_lane(waiter).add(waiter, waiter.ticket.at_front)
+        self.get_lane(waiter).add(waiter, waiter.ticket.at_front)
         self._waiting_by_queue[waiter.ticket.queue.name] += 1
 
     def remove(self, waiter: Waiter) -> bool:
         """Remove a request and return whether it was waiting."""
-        removed = self.find_lane(waiter).remove(waiter)
+        removed = self.get_lane(waiter).remove(waiter)
         if removed:
             self._waiting_by_queue[waiter.ticket.queue.name] -= 1
         return removed
 
     def start(self, urgent: bool) -> float:
-        """Count a start; charge the usual run time and return it in seconds."""
+        """Record a start; charge the mean run time and return it in seconds."""
         self.running += 1
         self.urgent_running += urgent
-        charged_s = self._service.mean_s or UNKNOWN_RUN_S
+        charged_s = self._service.mean_s or DEFAULT_RUN_S
         self._charge(charged_s)
         return charged_s
 
     def finish(self, placement: Placement, now_s: float) -> None:
-        """Count the end of a run and correct what was charged for it."""
+        """Record the end of a run; replace the charged run time by the measured one."""
         run_s = now_s - placement.started_s
         self.running -= 1
         self.urgent_running -= placement.urgent
@@ -93,23 +93,26 @@
         self._sampled_s = now_s
 
     def undo_start(self, placement: Placement) -> None:
-        """Count a start as not made, because nothing ran."""
+        """Revert a start and its charge, because the request was not run."""
         self.running -= 1
         self.urgent_running -= placement.urgent
         self._charge(-placement.charged_s)
 
     def catch_up(self, virtual_time_s: float) -> None:
-        """Give up the claim to service for a time in which the team could use none."""
+        """Advance the virtual time to at least the given one.
+
+        Without this, a team would be compensated for a time in which it had no request to start.
+        """
         self.virtual_time_s = max(self.virtual_time_s, virtual_time_s)
 
-    def read_service(self, now_s: float) -> ServiceTime:
-        """Return the measured run times, or none when they are old."""
+    def get_service_time(self, now_s: float) -> ServiceTime:
+        """Return the run time estimate; reset it first if it has expired."""
         if now_s - self._sampled_s > ESTIMATE_TTL_S + 2 * self._service.mean_s:
             self._service = ServiceTime()
         return self._service
 
     def make_load(self) -> TeamLoad:
-        """Return the load as it is reported to peers."""
+        """Return the load that is reported to peers."""
         return TeamLoad(
             running=self.running,
             waiting=self.waiting,
--- a/comfreywind/entry/ticket.py
+++ b/comfreywind/entry/ticket.py
@@ -1,4 +1,4 @@
-"""A request that waits for a place at a target."""
+"""A request for a slot at a target."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """What the dispatcher needs to know; `deadline_s` is a monotonic time in seconds.
+    """The data of a request that the dispatcher uses.
 
-    `at_front` is set for a request that had a place before, at a target that has not run it.
+    `deadline_s` is a monotonic time in seconds. `at_front` puts the request before those that wait;
+    it is set after an attempt at a target that failed or did not run the request.
     """
 
     request_id: str
--- a/comfreywind/entry/unit_demand.py
+++ b/comfreywind/entry/unit_demand.py
@@ -1,4 +1,4 @@
-"""Teams that wait for units of their ceilings."""
+"""Demand of the teams for units of their ceilings."""
 
 from collections import Counter
 
@@ -6,33 +6,33 @@
 
 
 class UnitDemand:
-    """Knows in which pools a team lacks a unit and tells the source how many requests wait."""
+    """Tracks the pools in which teams lack units and reports waiting requests to the source."""
 
     def __init__(self, units: UnitSource) -> None:
         """Start with no demand."""
         self._units = units
         self._waiting: Counter[str] = Counter()
-        # The pools of a team are in the order in which they began to lack a unit.
+        # Ordered: the pool of a team that has lacked a unit longest comes first.
         self._pools_by_team: dict[str, dict[str, None]] = {}
 
     def add_waiting(self, team: str, change: int) -> None:
-        """Count requests that began or ceased to wait."""
+        """Change the number of waiting requests of the team by `change`."""
         self._waiting[team] += change
         if team in self._pools_by_team:
             self._units.report_waiting(team, self._waiting[team])
 
     def add_pool(self, team: str, pool: str) -> None:
-        """Note that no unit could be taken for the team in this pool."""
+        """Record that the team lacks a unit in this pool."""
         self._pools_by_team.setdefault(team, {})[pool] = None
         self._units.report_waiting(team, self._waiting[team])
 
     def pop_pools(self, team: str) -> list[str]:
-        """Return the pools in which the team lacked a unit, and forget them."""
+        """Remove and return the pools in which the team lacked a unit."""
         pools = self._pools_by_team.pop(team, None)
         return list(pools) if pools else []
 
-    def settle(self, team: str) -> None:
-        """Tell the source that the team waits for no unit, if that is so."""
+    def clear_if_satisfied(self, team: str) -> None:
+        """Report a demand of 0 to the source unless the team still lacks a unit."""
         if team not in self._pools_by_team:
             self._units.report_waiting(team, 0)
 
--- a/comfreywind/entry/unit_policy.py
+++ b/comfreywind/entry/unit_policy.py
@@ -1,4 +1,4 @@
-"""Chooses where the units of the ceilings come from."""
+"""Creates the unit source for the settings."""
 
 from comfreywind.clock import Clock
 from comfreywind.entry.even_split_units import EvenSplitUnits
@@ -21,7 +21,7 @@
     clock: Clock,
     decisions: DecisionLog,
 ) -> RunnableUnits:
-    """Return the unit source that the setting `unit_policy` names."""
+    """Return the unit source named by the setting `unit_policy`."""
     if settings.unit_policy == 'even-split':
         return EvenSplitUnits(rules_view, len(settings.peers) + 1)
     member = MemberRow(
--- a/comfreywind/entry/waiter.py
+++ b/comfreywind/entry/waiter.py
@@ -1,4 +1,4 @@
-"""One request in a queue."""
+"""A waiting request in a queue."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A ticket, its number in the order of arrival, and the task to wake when it is placed or refused."""
+    """A ticket, its number in the order of arrival, and the task to wake once a result is set."""
 
     ticket: Ticket
     number: int
