--- a/comfreywind/entry/answer_sender.py
+++ b/comfreywind/entry/answer_sender.py
@@ -73,7 +73,7 @@
         except EXCHANGE_ERRORS:
             return
         finally:
-            self._answer.work.end(complete=self.complete)
+            self._answer.exchange.end(complete=self.complete)
 
     async def _read(self) -> None:
         async with aclosing(self._answer.chunks) as chunks:
--- a/comfreywind/entry/dispatch_policy.py
+++ b/comfreywind/entry/dispatch_policy.py
@@ -69,7 +69,7 @@
 
     def choose_target(self, pool: PoolQueue, urgent: bool, ticket: Ticket) -> VmEntry | None:
         """Return a random target where this entry has fewer requests than the target has slots."""
-        return pool.targets.choose_blindly(ticket)
+        return pool.targets.choose_random(ticket)
 
 
 def make_policy(name: str) -> DispatchPolicy:
--- a/comfreywind/entry/dispatcher.py
+++ b/comfreywind/entry/dispatcher.py
@@ -170,7 +170,7 @@
         outstanding = group_outstanding(reports, self._pool_by_target)
         now_s = self._clock.read_monotonic_s()
         for name, pool in self._pools.items():
-            pool.targets.expire_statements(now_s)
+            pool.targets.expire_inferred_loads(now_s)
             pool.targets.replace_peer_loads(outstanding.get(name, NO_LOAD))
             peer_loads = read_peer_loads(reports, name)
             if pool.is_active or any(peer_loads.values()) or pool.allocation.entitlements:
@@ -246,7 +246,7 @@
 
     def _start_waiting(self, pool: PoolQueue) -> None:
         progress = True
-        while progress and pool.targets.has_open:
+        while progress and pool.targets.may_have_free_slot:
             progress = self._start_next(pool)
 
     def _start_next(self, pool: PoolQueue) -> bool:
@@ -303,7 +303,7 @@
             self._unit_demand.add_pool(ticket.team, ticket.queue.pool)
             return StartResult.TEAM_BLOCKED
         self._dequeue(pool, waiter)
-        pool.targets.take(target.name)
+        pool.targets.add_request(target.name)
         waiter.placement = Placement(
             target=target,
             team=ticket.team,
--- a/comfreywind/entry/forwarder.py
+++ b/comfreywind/entry/forwarder.py
@@ -51,7 +51,7 @@
         try:
             await send_answer(answer, request.method, request.request_id, time_left_s, send)
         finally:
-            answer.work.end(complete=answer.complete)
+            answer.exchange.end(complete=answer.complete)
 
     async def _claim(self, request: CallerRequest, queue: QueueRules) -> Claim | None:
         if request.idempotent or not request.idempotency_key:
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -81,13 +81,13 @@
         """Record the end of a run and free its slot."""
         self.running -= 1
         self.get_team_queue(placement.team).finish(placement, now_s)
-        self.targets.free(placement.target.name)
+        self.targets.remove_request(placement.target.name)
 
     def undo_start(self, placement: Placement, full_until_s: float) -> None:
         """Revert a start, because the target rejected the request as full."""
         self.running -= 1
         self.get_team_queue(placement.team).undo_start(placement)
-        self.targets.undo_take(placement.target.name, full_until_s)
+        self.targets.record_rejection(placement.target.name, full_until_s)
 
     def mark_unit_available(self, team: str) -> bool:
         """Let the team compete for starts again; return whether it had lacked a unit."""
--- a/comfreywind/entry/request_run.py
+++ b/comfreywind/entry/request_run.py
@@ -57,7 +57,7 @@
         """Return what is known of the request now."""
         if self.answered:
             return Outcome.ANSWERED
-        if self.call is not None and self.call.describe(AttemptEnd.BROKEN).byte_sent:
+        if self.call is not None and self.call.make_attempt(AttemptEnd.BROKEN).byte_sent:
             return Outcome.UNKNOWN
         return Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN
 
@@ -69,7 +69,7 @@
             reason, f'{target_name} {detail}', outcome, self._find_retry_after_s(outcome)
         )
 
-    def restate(self, refusal: Refusal) -> Refusal:
+    def adjust_refusal(self, refusal: Refusal) -> Refusal:
         """Return a refusal of the queue as it holds after earlier attempts."""
         if self.get_outcome() is Outcome.NOT_RUN:
             return refusal
--- a/comfreywind/entry/target_admission.py
+++ b/comfreywind/entry/target_admission.py
@@ -1,4 +1,4 @@
-"""Which targets may get work, by something other than their load."""
+"""Interface that restricts which targets may get requests."""
 
 from typing import Protocol
 
@@ -6,22 +6,22 @@
 
 
 class TargetAdmission(Protocol):
-    """Admits targets to the choice and adds to their load."""
+    """Excludes targets from the choice or makes them less likely by adding to their load."""
 
     def admits(self, vm: VmEntry, idempotent: bool) -> bool:
         """Return whether the target may get a request of this kind now."""
 
     def count_failure_load(self, vm: VmEntry) -> int:
-        """Return how many outstanding requests recent failures of the target count as."""
+        """Return the number of outstanding requests that recent failures weigh as much as."""
 
 
 class AdmitAll:
-    """Admits every target."""
+    """Admits every target and adds no load."""
 
     def admits(self, vm: VmEntry, idempotent: bool) -> bool:
-        """Return that it may."""
+        """Return True for every target."""
         return True
 
     def count_failure_load(self, vm: VmEntry) -> int:
-        """Return no load."""
+        """Return 0 for every target."""
         return 0
--- a/comfreywind/entry/target_call.py
+++ b/comfreywind/entry/target_call.py
@@ -1,4 +1,4 @@
-"""One attempt at one target."""
+"""One attempt to run a request at a target."""
 
 from collections.abc import Callable
 from functools import partial
@@ -11,20 +11,21 @@
 from comfreywind.entry.target_answer import TargetAnswer, read_answer
 from comfreywind.entry.target_connection import TargetConnection
 from comfreywind.entry.target_connections import TargetConnections, TargetUnreachableError
-from comfreywind.entry.target_work import TargetWork
+from comfreywind.entry.target_work import TargetExchange
 
 Release = Callable[[], None]
-REPEAT_POLL_S = 0.05
+REPEAT_POLL_INTERVAL_S = 0.05
 EXCHANGE_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError)
 
 
 class TargetCall:
-    """Sends a request to a target and, when its connection may be silent, over a new one as well.
+    """Sends a request to a target and repeats it over a new connection if there is no response.
 
-    A reused connection that stays silent for `silence_s` is suspected (docs/design.md, 3.6): the
-    idle connections of its age are closed, and the request is repeated as soon as `take_repeat`
-    returns a function that releases what the repeat holds. The answer that arrives first wins.
-    Without `take_repeat` nothing is repeated.
+    A reused connection may be dead without having been closed. If no byte arrives on it within
+    `silence_s` seconds, the idle connections of its generation and older are closed, and the request
+    is repeated as soon as `reserve_repeat` returns a function that releases what the repeat holds
+    (docs/design.md, 3.6). The first answer is used. If `reserve_repeat` is None, the request is not
+    repeated.
     """
 
     def __init__(
@@ -35,7 +36,7 @@
         connections_limit: int,
         buffer_limit_bytes: int,
         silence_s: float,
-        take_repeat: Callable[[], Release | None] | None,
+        reserve_repeat: Callable[[], Release | None] | None,
     ) -> None:
         """Prepare the call; nothing is sent yet."""
         self._connections = connections
@@ -44,7 +45,7 @@
         self._connections_limit = connections_limit
         self._buffer_limit_bytes = buffer_limit_bytes
         self._silence_s = silence_s
-        self._take_repeat = take_repeat
+        self._reserve_repeat = reserve_repeat
         self._connection: TargetConnection | None = None
         self._first_scope = trio.CancelScope()
         self._repeat_scope = trio.CancelScope()
@@ -54,9 +55,9 @@
         self._ended = False
 
     async def run(self, release: Release, run_for_s: float) -> TargetAnswer | Attempt:
-        """Return the answer, or how the attempt failed within `run_for_s` seconds.
+        """Return the answer, or the failed attempt after at most `run_for_s` seconds.
 
-        Calls `release` when nothing of the first exchange runs at the target any more.
+        Calls `release` once the first exchange no longer runs at the target.
         """
         started_s = trio.current_time()
         reply: TargetAnswer | Attempt | None = None
@@ -66,11 +67,11 @@
             finally:
                 self._end_repeat(reply)
         if reply is None:
-            return self.describe(AttemptEnd.TIMED_OUT, trio.current_time() - started_s)
+            return self.make_attempt(AttemptEnd.TIMED_OUT, trio.current_time() - started_s)
         return reply
 
-    def describe(self, end: AttemptEnd, taken_s: float = 0) -> Attempt:
-        """Return the attempt as it ended."""
+    def make_attempt(self, end: AttemptEnd, taken_s: float = 0) -> Attempt:
+        """Return the record of the attempt with the given end."""
         if self._connection is None:
             return Attempt(end, byte_sent=False, byte_received=False, taken_s=taken_s)
         stream = self._connection.stream
@@ -86,61 +87,61 @@
             await self._repeat_ended.wait()
         if self._repeat_answer is not None:
             return self._repeat_answer
-        return self.describe(AttemptEnd.BROKEN)
+        return self.make_attempt(AttemptEnd.BROKEN)
 
     async def _run_first(self, release: Release, run_until_s: float) -> TargetAnswer | Attempt:
         try:
-            connection = await self._connections.lease(self._connections_limit)
+            connection = await self._connections.acquire(self._connections_limit)
         except TargetUnreachableError:
             release()
-            return self.describe(AttemptEnd.UNREACHABLE)
+            return self.make_attempt(AttemptEnd.UNREACHABLE)
         except trio.Cancelled:
             release()
             raise
         self._connection = connection
         report_silence = None
         if connection.reused:
-            report_silence = partial(self._suspect, run_until_s)
+            report_silence = partial(self._handle_silence, run_until_s)
         connection.stream.start_exchange(self._silence_s, report_silence)
-        work = self._make_work(connection, release, run_until_s)
+        exchange = self._make_exchange(connection, release, run_until_s)
         try:
-            return await self._exchange(work)
+            return await self._read_answer(exchange)
         except EXCHANGE_ERRORS:
-            return self.describe(AttemptEnd.BROKEN)
+            return self.make_attempt(AttemptEnd.BROKEN)
 
-    async def _exchange(self, work: TargetWork) -> TargetAnswer:
+    async def _read_answer(self, exchange: TargetExchange) -> TargetAnswer:
         try:
-            return await read_answer(self._request, work, self._buffer_limit_bytes)
+            return await read_answer(self._request, exchange, self._buffer_limit_bytes)
         except BaseException:
-            work.end()
+            exchange.end()
             raise
 
-    def _suspect(self, run_until_s: float) -> None:
+    def _handle_silence(self, run_until_s: float) -> None:
         if self._connection is None:
             return
-        self._connections.retire(self._connection)
-        if self._take_repeat is not None:
-            self._services.start(partial(self._run_repeat, self._take_repeat, run_until_s))
+        self._connections.retire_silent(self._connection)
+        if self._reserve_repeat is not None:
+            self._services.start(partial(self._run_repeat, self._reserve_repeat, run_until_s))
 
-    async def _run_repeat(self, take: Callable[[], Release | None], run_until_s: float) -> None:
+    async def _run_repeat(self, reserve: Callable[[], Release | None], run_until_s: float) -> None:
         with self._repeat_scope:
-            release = take()
+            release = reserve()
             while release is None:
-                await trio.sleep(REPEAT_POLL_S)
-                release = take()
+                await trio.sleep(REPEAT_POLL_INTERVAL_S)
+                release = reserve()
             self._repeat_began = True
-            self._repeat_answer = await self._try_repeat(release, run_until_s)
+            self._repeat_answer = await self._send_repeat(release, run_until_s)
         self._repeat_ended.set()
         if self._repeat_answer is None:
             return
         if self._ended:
-            self._repeat_answer.work.end()
+            self._repeat_answer.exchange.end()
         else:
             self._first_scope.cancel()
 
-    async def _try_repeat(self, release: Release, run_until_s: float) -> TargetAnswer | None:
+    async def _send_repeat(self, release: Release, run_until_s: float) -> TargetAnswer | None:
         try:
-            connection = await self._connections.lease(self._connections_limit, fresh=True)
+            connection = await self._connections.acquire(self._connections_limit, fresh=True)
         except TargetUnreachableError:
             release()
             return None
@@ -149,21 +150,21 @@
             raise
         connection.stream.start_exchange(self._silence_s, None)
         try:
-            answer = await self._exchange(self._make_work(connection, release, run_until_s))
+            answer = await self._read_answer(self._make_exchange(connection, release, run_until_s))
         except EXCHANGE_ERRORS:
             return None
-        if answer.says_not_run():
+        if answer.reports_not_run():
             release()
             return None
         return answer
 
-    def _make_work(
+    def _make_exchange(
         self, connection: TargetConnection, release: Release, run_until_s: float
-    ) -> TargetWork:
-        return TargetWork(self._connections, connection, release, run_until_s, self._services)
+    ) -> TargetExchange:
+        return TargetExchange(self._connections, connection, release, run_until_s, self._services)
 
     def _end_repeat(self, reply: TargetAnswer | Attempt | None) -> None:
         self._ended = True
         self._repeat_scope.cancel()
         if self._repeat_answer is not None and self._repeat_answer is not reply:
-            self._repeat_answer.work.end()
+            self._repeat_answer.exchange.end()
--- a/comfreywind/entry/target_caller.py
+++ b/comfreywind/entry/target_caller.py
@@ -1,4 +1,4 @@
-"""Tries targets until one answers, within the limits for retries."""
+"""Sends a request to targets until one answers or the retry limits are reached."""
 
 from collections.abc import Callable
 from datetime import datetime, timedelta
@@ -34,7 +34,7 @@
 
 
 class TargetCaller:
-    """Places a request, calls the target and decides after each attempt what follows."""
+    """Acquires a target for a request, calls it and decides after each attempt on a retry."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         buffer_limit_bytes: int,
         silence_s: float,
     ) -> None:
-        """Use the given parts; the connections to a target are divided among the entries."""
+        """Use the given components; `entries_count` divides the connections to a target."""
         self._dispatcher = dispatcher
         self._targets = targets
         self._health = health
@@ -61,17 +61,17 @@
         self._budget = RetryBudget()
 
     async def call(self, run: RequestRun) -> TargetAnswer:
-        """Return the answer of a target; raise RefusalError when the request is given up."""
+        """Return the answer of a target; raise RefusalError if no attempt gets one."""
         self._budget = record_request(self._budget, self._clock.read_monotonic_s())
         while True:
             placement = await self._acquire(run)
-            reply = await self._try_target(run, placement)
-            attempt = _describe(reply)
+            reply = await self._call_target(run, placement)
+            attempt = _classify_reply(reply)
             self._health.report(placement.target, placement.pool, counts_as_failure(attempt))
             run.record(attempt, placement)
             decision = self._decide(run, attempt)
             if decision is RetryDecision.FINISH:
-                return self._conclude(run, reply, attempt, placement)
+                return self._finish(run, reply, attempt, placement)
             await self._prepare_retry(run, reply, decision)
 
     async def _acquire(self, run: RequestRun) -> Placement:
@@ -82,26 +82,27 @@
         try:
             return await acquire(ticket)
         except RefusalError as error:
-            raise RefusalError(run.restate(error.refusal)) from error
+            raise RefusalError(run.adjust_refusal(error.refusal)) from error
 
-    async def _try_target(self, run: RequestRun, placement: Placement) -> CallResult:
+    async def _call_target(self, run: RequestRun, placement: Placement) -> CallResult:
         release = partial(self._dispatcher.release, placement)
-        # Read before the session: a process frozen in between must not move the start limit on.
+        # Read the clock before the session: if the process is suspended in between, the start limit
+        # in the header gets earlier, never later than the end of the session.
         now = self._clock.read_utc()
         session_left_s = self._units.read_session_left_s()
-        time_left_s = self._find_time_left_s(run)
-        if session_left_s <= 0 or time_left_s <= 0:
+        remaining_s = self._compute_remaining_s(run)
+        if session_left_s <= 0 or remaining_s <= 0:
             release()
-            raise RefusalError(run.restate(_refuse_start(session_left_s)))
-        run_for_s = min(run.pool.max_run_s, time_left_s)
+            raise RefusalError(run.adjust_refusal(_make_start_refusal(session_left_s)))
+        run_for_s = min(run.pool.max_run_s, remaining_s)
         call = TargetCall(
-            self._targets.find_connections(placement.target),
+            self._targets.get_connections(placement.target),
             self._make_request(run, placement, now, min(session_left_s, run_for_s), run_for_s),
             self._services,
             max(1, run.pool.connections_per_vm // self._entries_count),
             self._buffer_limit_bytes,
             self._silence_s,
-            partial(self._take_repeat, placement.team) if run.request.idempotent else None,
+            partial(self._reserve_repeat, placement.team) if run.request.idempotent else None,
         )
         run.call = call
         self._health.start(placement.target)
@@ -115,7 +116,7 @@
         context = RetryContext(
             idempotent=idempotent,
             failures=run.failures,
-            time_left_s=self._find_time_left_s(run),
+            time_left_s=self._compute_remaining_s(run),
             other_target_exists=self._has_other_target(run, attempt),
             budget_left=allows_retry(self._budget, self._clock.read_monotonic_s()),
         )
@@ -138,25 +139,28 @@
             run.failed_targets = frozenset()
         self._budget = record_retry(self._budget, self._clock.read_monotonic_s())
 
-    def _conclude(
+    def _finish(
         self, run: RequestRun, reply: CallResult, attempt: Attempt, placement: Placement
     ) -> TargetAnswer:
-        """Return the answer, which may be an error of the target; raise RefusalError without."""
+        """Return the answer, even an error of the target; raise RefusalError if there is none."""
         if attempt.end is AttemptEnd.REFUSED:
             self._dispatcher.release(placement)
         elif isinstance(reply, TargetAnswer):
             return reply
         raise RefusalError(run.make_refusal(attempt, placement.target.name))
 
-    def _take_repeat(self, team: str) -> Callable[[], None] | None:
-        """Take a unit for a repeat over a new connection, if the budget and the team allow it."""
+    def _reserve_repeat(self, team: str) -> Callable[[], None] | None:
+        """Reserve a unit for a repeat over a new connection and return a function to release it.
+
+        Returns None if the retry budget is spent or the team has no free unit.
+        """
         now_s = self._clock.read_monotonic_s()
         if not allows_retry(self._budget, now_s) or not self._units.try_take(team):
             return None
         self._budget = record_retry(self._budget, now_s)
-        return partial(self._give_back, team)
+        return partial(self._release_repeat, team)
 
-    def _give_back(self, team: str) -> None:
+    def _release_repeat(self, team: str) -> None:
         self._units.give_back(team)
         self._dispatcher.wake_team(team)
 
@@ -189,25 +193,25 @@
         )
         return httpcore.Request(request.method, url, headers=headers, content=request.body)
 
-    def _find_time_left_s(self, run: RequestRun) -> float:
+    def _compute_remaining_s(self, run: RequestRun) -> float:
         return run.request.deadline_s - self._clock.read_monotonic_s()
 
 
 def _format_instant(instant: datetime) -> bytes:
-    """Return Unix time with milliseconds, rounded down, since a lease must not become longer."""
+    """Return Unix time with milliseconds, rounded down so that no lease gets longer."""
     whole_ms = int(instant.timestamp() * MILLISECONDS_PER_S)
     return f'{whole_ms / MILLISECONDS_PER_S:.3f}'.encode()
 
 
-def _describe(reply: CallResult) -> Attempt:
+def _classify_reply(reply: CallResult) -> Attempt:
     if isinstance(reply, Attempt):
         return reply
-    if reply.says_not_run():
+    if reply.reports_not_run():
         return Attempt(AttemptEnd.REFUSED)
     return Attempt(AttemptEnd.ERROR_ANSWERED if reply.is_error() else AttemptEnd.ANSWERED)
 
 
-def _refuse_start(session_left_s: float) -> Refusal:
+def _make_start_refusal(session_left_s: float) -> Refusal:
     if session_left_s <= 0:
         return Refusal(
             RefusalReason.RULES_STALE,
--- a/comfreywind/entry/target_client.py
+++ b/comfreywind/entry/target_client.py
@@ -1,4 +1,4 @@
-"""Connections to all targets."""
+"""Connection pools of all targets."""
 
 from comfreywind.clock import Clock
 from comfreywind.entry.fleet_view import FleetView
@@ -7,7 +7,7 @@
 
 
 class TargetClient:
-    """One set of connections for each target; a new incarnation gets a new set."""
+    """Keeps one connection pool per target; a new incarnation or address gets a new pool."""
 
     def __init__(self, fleet_view: FleetView, clock: Clock, connect_timeout_s: float) -> None:
         """Start without connections."""
@@ -16,10 +16,10 @@
         self._connect_timeout_s = connect_timeout_s
         self._targets: dict[str, TargetConnections] = {}
 
-    def find_connections(self, target: VmEntry) -> TargetConnections:
-        """Return the connections to the target."""
+    def get_connections(self, target: VmEntry) -> TargetConnections:
+        """Return the connection pool of the target; create it on first use."""
         known = self._targets.get(target.name)
-        if known is not None and _is_same(known.target, target):
+        if known is not None and _has_same_incarnation(known.target, target):
             return known
         if known is not None:
             known.retire_all()
@@ -28,7 +28,7 @@
         return connections
 
     def close_unused(self) -> None:
-        """Close connections that have been idle for long and those to VMs that are gone."""
+        """Close connections idle for longer than `KEEP_ALIVE_S` and those to removed VMs."""
         listed = {vm.name for vm in self._fleet_view.list_vms()}
         for name in list(self._targets):
             if name in listed:
@@ -37,5 +37,5 @@
                 self._targets.pop(name).retire_all()
 
 
-def _is_same(first: VmEntry, second: VmEntry) -> bool:
+def _has_same_incarnation(first: VmEntry, second: VmEntry) -> bool:
     return first.address == second.address and first.incarnation == second.incarnation
--- a/comfreywind/entry/target_connection.py
+++ b/comfreywind/entry/target_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a target."""
+"""An HTTP/1.1 connection to a target."""
 
 import httpcore
 
@@ -6,10 +6,10 @@
 
 
 class TargetConnection:
-    """A connection that serves one exchange at a time; it can be kept after a whole answer."""
+    """Serves one exchange at a time; can be reused after a complete answer."""
 
     def __init__(self, stream: TargetStream, origin: httpcore.Origin, generation: int) -> None:
-        """Start the HTTP state of a new connection."""
+        """Start HTTP on a new stream; `generation` is that of its connection pool."""
         self.stream = stream
         self.generation = generation
         self.reused = False
@@ -17,9 +17,9 @@
         self._http = httpcore.AsyncHTTP11Connection(origin, stream)
 
     async def send(self, request: httpcore.Request) -> httpcore.Response:
-        """Send the request and return the answer once its headers are there."""
+        """Send the request and return the response once its headers have arrived."""
         return await self._http.handle_async_request(request)
 
     def is_idle(self) -> bool:
-        """Return whether the last exchange is complete and left the connection open."""
+        """Return whether the last exchange is complete and the connection can be reused."""
         return self._http.is_idle()
--- a/comfreywind/entry/target_connections.py
+++ b/comfreywind/entry/target_connections.py
@@ -1,4 +1,4 @@
-"""The connections of this entry to one target."""
+"""Connection pool of this entry for one target."""
 
 from collections import deque
 
@@ -11,15 +11,20 @@
 from comfreywind.errors import ComfreywindError
 from comfreywind.platform.vm_entry import VmEntry
 
+# Idle connections are closed after this time.
 KEEP_ALIVE_S = 5
 
 
 class TargetUnreachableError(ComfreywindError):
-    """No connection to the target could be opened; no byte of a request was sent."""
+    """Raised when no connection could be opened; no byte of the request was sent."""
 
 
 class TargetConnections:
-    """Opens, keeps and closes connections; the newest idle one is used first."""
+    """Pool of connections; the one that became idle last is reused first.
+
+    The generation increases each time the idle connections are retired. Connections of an earlier
+    generation are closed instead of being kept.
+    """
 
     def __init__(self, target: VmEntry, connect_timeout_s: float, clock: Clock) -> None:
         """Start without connections."""
@@ -28,15 +33,15 @@
         self._clock = clock
         self._origin = httpcore.Origin(b'http', target.address.host.encode(), target.address.port)
         self._idle: deque[TargetConnection] = deque()
-        self._waiting = trio.lowlevel.ParkingLot()
+        self._waiting_tasks = trio.lowlevel.ParkingLot()
         self._generation = 0
         self._answered_generation = 0
         self._open_count = 0
 
-    async def lease(self, limit: int, fresh: bool = False) -> TargetConnection:
-        """Return a connection, a new one for `fresh`; wait while `limit` are open.
+    async def acquire(self, limit: int, fresh: bool = False) -> TargetConnection:
+        """Return a connection, a new one if `fresh`; wait while `limit` connections are in use.
 
-        Raises TargetUnreachableError.
+        Raises TargetUnreachableError if a new connection cannot be opened.
         """
         while True:
             connection = None if fresh else self._pop_idle()
@@ -47,44 +52,47 @@
                 self.close(self._idle.popleft())
             if self._open_count < limit:
                 return await self._open()
-            await self._waiting.park()
+            await self._waiting_tasks.park()
 
-    def note_answer(self, connection: TargetConnection) -> None:
-        """Note that a whole answer came over the connection."""
+    def record_answer(self, connection: TargetConnection) -> None:
+        """Record that a complete answer arrived over the connection."""
         self._answered_generation = max(self._answered_generation, connection.generation)
 
     def is_proven_silent(self, connection: TargetConnection) -> bool:
-        """Return whether a connection opened after this one was suspected has been answered."""
+        """Return whether a connection of a later generation has received an answer.
+
+        The target then works, so that the silence of this connection is due to the connection.
+        """
         return connection.reused and connection.generation < self._answered_generation
 
-    def keep(self, connection: TargetConnection) -> None:
-        """Take back a connection whose exchange is complete."""
+    def add_idle(self, connection: TargetConnection) -> None:
+        """Return a connection to the pool after its exchange is complete."""
         if connection.generation < self._generation:
             self.close(connection)
             return
         connection.idle_since_s = self._clock.read_monotonic_s()
         self._idle.append(connection)
-        self._waiting.unpark()
+        self._waiting_tasks.unpark()
 
     def close(self, connection: TargetConnection) -> None:
-        """Close a leased connection."""
+        """Close a connection and let another one be opened."""
         connection.stream.close()
         self._open_count -= 1
-        self._waiting.unpark()
+        self._waiting_tasks.unpark()
 
-    def retire(self, silent: TargetConnection) -> None:
-        """Close the idle connections that are as old as a silent one; keep none of that age."""
+    def retire_silent(self, silent: TargetConnection) -> None:
+        """Retire the generation of a silent connection and earlier ones."""
         if silent.generation < self._generation:
             return
         self.retire_all()
 
     def retire_all(self) -> None:
-        """Close the idle connections; those in use are closed when their exchange ends."""
+        """Close the idle connections now and those in use when their exchange ends."""
         self._generation += 1
         self.close_idle()
 
     def close_idle(self, older_than_s: float = 0) -> None:
-        """Close the connections that have been idle for longer than that."""
+        """Close the connections that have been idle for at least `older_than_s` seconds."""
         idle_since_s = self._clock.read_monotonic_s() - older_than_s
         while self._idle and self._idle[0].idle_since_s <= idle_since_s:
             self.close(self._idle.popleft())
@@ -105,13 +113,15 @@
             with trio.fail_after(self._connect_timeout_s):
                 stream = await trio.open_tcp_stream(address.host, address.port)
         except (OSError, trio.TooSlowError) as error:
-            self._cancel_open()
-            raise TargetUnreachableError(f"{address} can't be reached: {error!r}") from error
+            self._release_open_slot()
+            raise TargetUnreachableError(
+                f'cannot connect to target {address}: {error!r}'
+            ) from error
         except trio.Cancelled:
-            self._cancel_open()
+            self._release_open_slot()
             raise
         return TargetConnection(TargetStream(stream), self._origin, self._generation)
 
-    def _cancel_open(self) -> None:
+    def _release_open_slot(self) -> None:
         self._open_count -= 1
-        self._waiting.unpark()
+        self._waiting_tasks.unpark()
--- a/comfreywind/entry/target_health.py
+++ b/comfreywind/entry/target_health.py
@@ -1,4 +1,4 @@
-"""Which targets of a pool get work, by how requests there have ended."""
+"""Passive health checks: ejects targets by the results of their requests."""
 
 import logging
 from collections import Counter
@@ -24,16 +24,16 @@
 
 
 class TargetHealth:
-    """Ejects targets that fail, within the cap of their pool.
+    """Ejects failing targets, up to the limit on ejected targets of a pool.
 
-    The dispatcher asks `admits` and `count_failure_load` when it places a request. The
+    The dispatcher calls `admits` and `count_failure_load` when it places a request. The
     forwarder calls `start` before and `report` after each attempt.
     """
 
     def __init__(
         self, fleet_view: FleetView, clock: Clock, decisions: DecisionLog | None = None
     ) -> None:
-        """Start without any record."""
+        """Start without records."""
         self._fleet_view = fleet_view
         self._clock = clock
         self._decisions = decisions
@@ -57,27 +57,27 @@
         )
 
     def count_failure_load(self, vm: VmEntry) -> int:
-        """Return how many outstanding requests the recent failures of the VM count as."""
+        """Return the number of outstanding requests that the VM's recent failures weigh as much as."""
         record = self._records.get(vm.name)
         return 0 if record is None else compute_failure_load(record, self._clock.read_monotonic_s())
 
     def has_other_target(self, pool: str, excluded: frozenset[str], idempotent: bool) -> bool:
-        """Return whether a target of the pool besides the excluded ones may get the request."""
+        """Return whether any target that is not excluded may get the request."""
         closed = excluded | self.list_ejected(idempotent)
         return any(vm.name not in closed for vm in self._fleet_view.list_usable(pool))
 
     def start(self, vm: VmEntry) -> None:
-        """Note that a request goes to the VM; the first one on probation is the probe."""
+        """Count a request that is sent to the VM; the first one on probation is the probe."""
         self._running[vm.name] += 1
 
     def finish(self, vm: VmEntry) -> None:
-        """Note that a request at the VM has ended, whatever its result."""
+        """Stop counting a request at the VM that has ended with any result."""
         self._running[vm.name] -= 1
         if not self._running[vm.name]:
             del self._running[vm.name]
 
     def report(self, vm: VmEntry, pool: str, failed: bool) -> None:
-        """Take the result of a request at the VM and eject the VM if it has become an outlier."""
+        """Record the result of a request at the VM; eject the VM if it has become an outlier."""
         known = self._records.get(vm.name)
         if known is None and not failed:
             return
@@ -86,11 +86,11 @@
         now_s = self._clock.read_monotonic_s()
         record = record_failure(known, now_s) if failed else record_success(known, now_s)
         if failed and record.ejected_until_s is None and is_outlier(record):
-            record = self._try_eject(record, vm, pool, now_s)
+            record = self._eject_within_limit(record, vm, pool, now_s)
         self._store(vm.name, record)
 
-    def forget_missing(self) -> None:
-        """Drop the records of VMs that are not listed any more under that incarnation."""
+    def remove_outdated_records(self) -> None:
+        """Remove records of VMs that are gone or are listed with another incarnation."""
         listed = {vm.name: vm.incarnation for vm in self._fleet_view.list_vms()}
         outdated = [
             name for name, record in self._records.items() if listed.get(name) != record.incarnation
@@ -109,14 +109,18 @@
         else:
             self._ejected.add(name)
 
-    def _try_eject(
+    def _eject_within_limit(
         self, record: TargetRecord, vm: VmEntry, pool: str, now_s: float
     ) -> TargetRecord:
         names = {usable.name for usable in self._fleet_view.list_usable(pool)}
         ejected_count = len(names & self._ejected)
         if not may_eject(ejected_count, len(names)):
             return record
-        log.warning('%s is ejected after %d failures', vm.name, record.consecutive_failures)
+        log.warning(
+            'target %s ejected, consecutive failures: %d; it gets no requests until probation',
+            vm.name,
+            record.consecutive_failures,
+        )
         if self._decisions is not None:
             self._decisions.record(
                 'ejection',
--- a/comfreywind/entry/target_stream.py
+++ b/comfreywind/entry/target_stream.py
@@ -5,19 +5,19 @@
 import httpcore
 import trio
 
-RECEIVE_BYTES = 65_536
+RECEIVE_SIZE_BYTES = 65_536
 
 
 class TargetStream(httpcore.AsyncNetworkStream):
-    """Knows what has been sent and received in the present exchange.
+    """Tracks whether bytes were sent and received in the current exchange.
 
-    Writes are collected and sent together just before the first read, so that a request is one
-    system call and usually one segment. A close in the middle of an exchange is left to the owner,
-    who waits for the target to stop the task.
+    Writes are buffered and sent together before the next read, so that a request takes one system
+    call and usually one segment. `aclose` leaves the socket open: the owner closes it after the
+    target has stopped the task.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        """Use a connected stream."""
+        """Wrap a connected stream."""
         self._stream = stream
         self._unsent = bytearray()
         self._silence_s = float('inf')
@@ -27,14 +27,14 @@
         self.peer_closed = False
 
     def start_exchange(self, silence_s: float, report_silence: Callable[[], None] | None) -> None:
-        """Forget the previous exchange; report once if no byte comes within `silence_s`."""
+        """Reset the state; call `report_silence` once if no byte arrives within `silence_s`."""
         self._silence_s = silence_s
         self._report_silence = report_silence
         self.byte_sent = False
         self.byte_received = False
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return received bytes, after sending what was written; the owner limits the time."""
+        """Send the buffered bytes and return received ones; `timeout` is left to the owner."""
         await self._send_unsent()
         try:
             chunk = await self._receive(max_bytes)
@@ -46,32 +46,32 @@
         return chunk
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Keep the bytes until the next read."""
+        """Buffer the bytes until the next read."""
         self._unsent += buffer
 
     async def aclose(self) -> None:
-        """Leave the socket to the owner, who closes it."""
+        """Do nothing; the owner closes the socket."""
 
     def is_usable(self) -> bool:
-        """Return whether an idle connection is still open and has nothing to read."""
+        """Return whether an idle connection is open and has no unexpected bytes to read."""
         return not self.peer_closed and not self._stream.socket.is_readable()
 
     async def wait_for_peer_close(self) -> None:
-        """Close the sending side and return when the target has closed its own."""
+        """Shut down the sending side and return once the target has closed the connection."""
         try:
             await self._drain()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
 
     def close(self) -> None:
-        """Close the socket at once."""
+        """Close the socket immediately."""
         self._stream.socket.close()
 
     async def _drain(self) -> None:
         await self._stream.send_eof()
-        received = await self._stream.receive_some(RECEIVE_BYTES)
+        received = await self._stream.receive_some(RECEIVE_SIZE_BYTES)
         while received:
-            received = await self._stream.receive_some(RECEIVE_BYTES)
+            received = await self._stream.receive_some(RECEIVE_SIZE_BYTES)
 
     async def _send_unsent(self) -> None:
         if not self._unsent:
@@ -82,7 +82,8 @@
         try:
             await self._stream.send_all(unsent)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The target may have answered early and closed; the read tells. RFC 9112 section 9.6.
+            # The target may have answered early and closed; the next read shows whether it has
+            # (RFC 9112 section 9.6).
             self.peer_closed = True
 
     async def _receive(self, max_bytes: int) -> bytes:
--- a/comfreywind/entry/target_upkeep.py
+++ b/comfreywind/entry/target_upkeep.py
@@ -1,16 +1,16 @@
-"""Drops what is kept about targets that need it no longer."""
+"""Periodic cleanup of connections and health records of targets."""
 
 import trio
 
 from comfreywind.entry.target_client import TargetClient
 from comfreywind.entry.target_health import TargetHealth
 
-INTERVAL_S = 2.0
+CLEANUP_INTERVAL_S = 2.0
 
 
 async def maintain_targets(targets: TargetClient, health: TargetHealth) -> None:
-    """Close unused connections and forget missing targets, in a fixed period for ever."""
+    """Remove unused connections and outdated health records periodically until cancelled."""
     while True:
-        await trio.sleep(INTERVAL_S)
+        await trio.sleep(CLEANUP_INTERVAL_S)
         targets.close_unused()
-        health.forget_missing()
+        health.remove_outdated_records()
--- a/comfreywind/entry/target_work.py
+++ b/comfreywind/entry/target_work.py
@@ -1,4 +1,4 @@
-"""One exchange with a target and what is held for it."""
+"""An exchange with a target and the resources that it holds."""
 
 from collections.abc import Callable
 
@@ -8,17 +8,17 @@
 from comfreywind.entry.target_connection import TargetConnection
 from comfreywind.entry.target_connections import TargetConnections
 
-# Bounds the difference between the clocks of the entry and the worker (docs/design.md, 5.1).
+# Upper limit of the difference between the clocks of the entry and the worker (docs/design.md, 5.1).
 LEASE_MARGIN_S = 2.0
 
 
-class TargetWork:
-    """Holds a connection and a unit until the work at the target has ended.
+class TargetExchange:
+    """Holds a connection and a unit until the task at the target has ended.
 
-    An executor stops a task whose connection is closed and then closes its own side. So an exchange
-    that is given up releases its unit when the target has closed, and at the latest
-    `LEASE_MARGIN_S` after the end of the lease, which the worker enforces. A unit released earlier
-    could exceed the ceiling of the team.
+    An executor stops a task whose connection is closed and then closes its own side. An aborted
+    exchange therefore releases its unit when the target has closed the connection, but no later than
+    `LEASE_MARGIN_S` after the end of the lease, which the worker enforces. If the unit were released
+    earlier, the team could exceed its ceiling.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         run_until_s: float,
         services: ServiceTasks,
     ) -> None:
-        """Take over the leased connection; `run_until_s` is a monotonic trio time."""
+        """Take ownership of the connection; `run_until_s`, the end of the lease, is a trio time."""
         self.connection = connection
         self._connections = connections
         self._release = release
@@ -37,25 +37,26 @@
         self._services = services
         self._ended = False
 
-    def end(self, complete: bool = False, keeps_place: bool = False) -> None:
-        """Give back what is held; unless the answer is complete, once the target has stopped.
+    def end(self, complete: bool = False, keeps_placement: bool = False) -> None:
+        """Release the connection and the unit; if the answer is incomplete, wait for the target.
 
-        After a refusal the place stays with the caller of this, who gives it back as not used.
+        With `keeps_placement` only the connection is released: the target has rejected the request, and
+        the caller of this method releases the placement as not used.
         """
         if self._ended:
             return
         self._ended = True
         stream = self.connection.stream
         if complete:
-            self._connections.note_answer(self.connection)
+            self._connections.record_answer(self.connection)
         if not complete and stream.byte_sent and not stream.peer_closed:
             self._services.start(self._wait_for_target)
             return
         if complete and self.connection.is_idle():
-            self._connections.keep(self.connection)
+            self._connections.add_idle(self.connection)
         else:
             self._connections.close(self.connection)
-        if not keeps_place:
+        if not keeps_placement:
             self._release()
 
     async def _wait_for_target(self) -> None:
--- a/tests/test_caller_requests.py
+++ b/tests/test_caller_requests.py
@@ -14,7 +14,7 @@
 from bench.fleet import wait_until
 from comfreywind.entry.header_rules import select_request_headers
 from comfreywind.entry.queue_path import split_queue_path
-from comfreywind.entry.wait_preference import LONGEST_WAIT_S, read_wait_s
+from comfreywind.entry.wait_preference import MAX_WAIT_S, read_wait_s
 from tests.helpers.fault_fleet import TEAM, FaultFleet, make_fault_plan, read_problem
 from tests.helpers.raw_caller import Stopwatch, call_raw, make_request, open_raw, read_to_end
 
@@ -87,7 +87,7 @@
 def test_wait_is_bounded(text: str) -> None:
     """Guards against a wait without a limit, a negative one and a failure to read one."""
     wait_s = read_wait_s([(b'Prefer', text.encode('latin-1'))], DEFAULT_S)
-    assert 0 <= wait_s <= LONGEST_WAIT_S
+    assert 0 <= wait_s <= MAX_WAIT_S
 
 
 @pytest.mark.parametrize(
@@ -101,7 +101,7 @@
         (['await=5'], DEFAULT_S),
         (['wait=-5'], DEFAULT_S),
         (['wait=1e9'], DEFAULT_S),
-        (['wait=999999999'], LONGEST_WAIT_S),
+        (['wait=999999999'], MAX_WAIT_S),
         ([], DEFAULT_S),
     ],
 )
