--- a/comfreywind/entry/answer_sender.py
+++ b/comfreywind/entry/answer_sender.py
@@ -1,4 +1,4 @@
-"""Sends the answer of a target to the caller."""
+"""Streams the answer of a target to the caller."""
 
 from contextlib import aclosing
 
@@ -10,24 +10,26 @@
 from comfreywind.entry.target_call import EXCHANGE_ERRORS
 from comfreywind.http.asgi_types import HeaderList, Send
 
-CHUNKS_AHEAD = 4
+# Chunks that are read from the target before the caller has received them.
+CHUNK_BUFFER_LIMIT = 4
 STATUS_NO_CONTENT = 204
 
 
 class AnswerCutError(Exception):
-    """The answer broke off after its headers had gone to the caller.
+    """Raised when the answer is truncated after its headers were sent to the caller.
 
-    The caller's connection must be closed without the end of the body.
+    The caller's connection must be closed without the end of the body, so that the answer does not
+    look complete.
     """
 
 
 async def send_answer(
     answer: TargetAnswer, method: str, request_id: str, time_left_s: float, send: Send
 ) -> None:
-    """Send the whole answer; raise AnswerCutError when it breaks off or takes too long."""
+    """Send the whole answer; raise AnswerCutError if it is truncated or takes too long."""
     headers = [
         *select_answer_headers(answer.headers),
-        *_make_length(answer, method),
+        *_make_length_headers(answer, method),
         (b'x-request-id', request_id.encode()),
         (b'comfreywind-outcome', Outcome.ANSWERED.value.encode()),
     ]
@@ -40,19 +42,19 @@
 
 
 async def _send_rest(answer: TargetAnswer, time_left_s: float, send: Send) -> None:
-    """Read and send in separate tasks.
+    """Read and send the rest of the body in separate tasks.
 
-    A caller that stops reading blocks the sending, which can't be cancelled; the reading ends at
-    the deadline all the same and frees the place at the target.
+    A caller that stops reading blocks the sending task, which can't be cancelled. The reading task
+    still ends at the deadline and frees the slot at the target.
     """
-    send_chunk, receive_chunk = trio.open_memory_channel[bytes](CHUNKS_AHEAD)
+    send_chunk, receive_chunk = trio.open_memory_channel[bytes](CHUNK_BUFFER_LIMIT)
     reader = _AnswerReader(answer, send_chunk, time_left_s)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reader.run)
         async for chunk in receive_chunk:
             await send({'type': 'http.response.body', 'body': chunk, 'more_body': True})
     if not reader.complete:
-        raise AnswerCutError('the answer of the target broke off or took too long')
+        raise AnswerCutError('the answer of the target was truncated or exceeded its time limit')
     await send({'type': 'http.response.body', 'body': b''})
 
 
@@ -66,7 +68,7 @@
         self.complete = False
 
     async def run(self) -> None:
-        """Read the rest of the body until its end, a failure or the deadline."""
+        """Read the rest of the body until its end, an error or the time limit."""
         try:
             with trio.move_on_after(self._time_left_s), self._send_chunk:
                 await self._read()
@@ -82,8 +84,8 @@
         self.complete = True
 
 
-def _make_length(answer: TargetAnswer, method: str) -> HeaderList:
-    stated = [(b'content-length', text.encode()) for text in _list_lengths(answer)]
+def _make_length_headers(answer: TargetAnswer, method: str) -> HeaderList:
+    stated = [(b'content-length', text.encode()) for text in _get_stated_lengths(answer)]
     if answer.status == STATUS_NO_CONTENT:
         return []
     if not answer.complete or method == 'HEAD' or answer.status in BODILESS_STATUSES:
@@ -91,5 +93,5 @@
     return [(b'content-length', str(len(answer.head)).encode())]
 
 
-def _list_lengths(answer: TargetAnswer) -> list[str]:
+def _get_stated_lengths(answer: TargetAnswer) -> list[str]:
     return list_headers(answer.headers, b'content-length')[:1]
--- a/comfreywind/entry/caller_app.py
+++ b/comfreywind/entry/caller_app.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP side."""
+"""ASGI application for the callers."""
 
 import json
 import logging
@@ -29,7 +29,7 @@
 from comfreywind.http.asgi_reply import send_json, send_reply
 from comfreywind.http.asgi_types import HeaderList, Message, Receive, Scope, Send
 
-# A body that takes longer is refused, so that slow senders don't pile up.
+# Time limit for reading a request body, so that slow senders do not accumulate.
 BODY_TIMEOUT_S = 30.0
 STOPPING = Refusal(
     RefusalReason.ENTRY_STOPPING, 'this entry is shutting down; another one may', retry_after_s=1
@@ -39,7 +39,7 @@
 
 
 class CallerApp:
-    """Admits requests and forwards them; every response states its outcome."""
+    """Admits and forwards requests; every response to one has an outcome header."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         body_limit_bytes: int,
         default_deadline_s: float,
     ) -> None:
-        """Use the given parts."""
+        """Use the given components; `default_deadline_s` applies without a wait preference."""
         self._rules_view = rules_view
         self._readiness = readiness
         self._forwarder = forwarder
@@ -62,7 +62,7 @@
         self.active_count = 0
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request; once the entry is leaving, the response closes the connection."""
+        """Serve one request; while the entry is leaving, close the connection afterwards."""
         self.active_count += 1
         try:
             await self._answer(scope, receive, self._close_when_leaving(send))
@@ -90,13 +90,17 @@
         except RefusalError as error:
             await send_refusal(send, error.refusal, request_id, body)
         except BodyIncompleteError:
-            log.info('request %s: the caller left before its body was complete', request_id)
+            log.info(
+                'request %s: the caller disconnected before its body was complete; not forwarded',
+                request_id,
+            )
         except AnswerCutError as error:
-            # Returning now makes the server close the connection without the end of the body.
-            log.warning('request %s: %s', request_id, error)
+            # On return, the server closes the connection without the end of the body, so that the caller
+            # recognizes the truncated answer.
+            log.warning('request %s: closing the connection to the caller: %s', request_id, error)
 
     async def _serve(self, scope: Scope, body: CallerBody, send: Send, request_id: str) -> None:
-        rules = self._read_rules()
+        rules = self._get_rules()
         check_request(scope, request_id)
         path = split_queue_path(scope)
         if path is None:
@@ -118,7 +122,7 @@
         body: CallerBody,
         send: Send,
     ) -> None:
-        """Forward until the end or until the caller disconnects."""
+        """Forward the request; cancel it when the caller disconnects."""
         failure: RefusalError | AnswerCutError | None = None
         shielded_send = partial(_send_shielded, send)
         async with trio.open_nursery() as nursery:
@@ -131,7 +135,7 @@
         if failure is not None:
             raise failure
 
-    def _read_rules(self) -> Rules:
+    def _get_rules(self) -> Rules:
         if self.stopping:
             raise RefusalError(STOPPING)
         refusal = self._readiness.find_refusal()
@@ -178,10 +182,10 @@
 
 
 async def _send_shielded(send: Send, message: Message) -> None:
-    """Send a part of the answer and don't let the end of the request cancel it.
+    """Send a message of the answer, shielded from the cancellation of the request.
 
-    The server reports a disconnect while it handles the last part. Cancelled then, it would leave
-    the connection open.
+    The server reports a disconnect while it handles the last message. If it were cancelled then, it
+    would leave the connection open.
     """
     with trio.CancelScope(shield=True):
         await send(message)
@@ -207,6 +211,7 @@
     headers.append((b'content-length', str(len(document)).encode()))
     await send({'type': 'http.response.start', 'status': refusal.reason.status, 'headers': headers})
     await send({'type': 'http.response.body', 'body': document, 'more_body': True})
-    # The caller has its whole answer; closing before it stops sending could destroy it on the way.
+    # The whole answer is sent. Closing the connection while the caller still sends could reset it
+    # before the caller has read the answer.
     await body.discard_rest()
     await send({'type': 'http.response.body', 'body': b''})
--- a/comfreywind/entry/caller_body.py
+++ b/comfreywind/entry/caller_body.py
@@ -1,4 +1,4 @@
-"""The body that a caller sends, and whether the caller is still there."""
+"""Request body and disconnect of a caller."""
 
 import trio
 
@@ -8,27 +8,27 @@
 from comfreywind.http.asgi_types import Message, Receive
 from comfreywind.http.disconnect import DISCONNECT, cancel_on_disconnect
 
-# A caller that goes on sending after its refusal gets this long before the connection is closed.
-DISCARD_S = 2.0
+# Time for a refused caller to finish sending its body before the connection is closed.
+DISCARD_TIMEOUT_S = 2.0
 
 
 class CallerBody:
-    """Reads the body within limits and notices the end of the connection."""
+    """Reads the body within limits and detects a disconnect."""
 
     def __init__(self, receive: Receive, limit_bytes: int) -> None:
-        """Use the server's function for the next part of the body."""
+        """Read from the ASGI function `receive`, at most `limit_bytes`."""
         self._receive = receive
         self._limit_bytes = limit_bytes
         self.complete = False
 
     async def read_whole(self, timeout_s: float) -> bytes:
-        """Return the body; raise RefusalError when it is too large or too slow.
+        """Return the body; raise RefusalError if it is too large or takes too long.
 
         Raises BodyIncompleteError when the caller disconnects.
         """
         with trio.move_on_after(timeout_s):
             try:
-                return await read_body(self._receive_part, self._limit_bytes)
+                return await read_body(self._receive_message, self._limit_bytes)
             except BodyTooLargeError as error:
                 raise RefusalError(Refusal(RefusalReason.BODY_TOO_LARGE, str(error))) from error
         raise RefusalError(
@@ -40,12 +40,12 @@
         await cancel_on_disconnect(self._receive, scope)
 
     async def discard_rest(self) -> None:
-        """Read the rest of the body and drop it, within DISCARD_S."""
-        with trio.move_on_after(DISCARD_S):
+        """Read and discard the rest of the body for at most `DISCARD_TIMEOUT_S`."""
+        with trio.move_on_after(DISCARD_TIMEOUT_S):
             while not self.complete:
-                await self._receive_part()
+                await self._receive_message()
 
-    async def _receive_part(self) -> Message:
+    async def _receive_message(self) -> Message:
         message = await self._receive()
         if message['type'] == DISCONNECT or not message.get('more_body', False):
             self.complete = True
--- a/comfreywind/entry/caller_request.py
+++ b/comfreywind/entry/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as it is forwarded."""
+"""A caller's request that is forwarded to a target."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Method, target path with query, headers to pass on and the whole body."""
+    """The admitted request; `target_path` includes the query, `headers` are those to forward.
+
+    `deadline_s` is a monotonic time in seconds.
+    """
 
     request_id: str
     method: str
@@ -20,5 +23,5 @@
 
     @property
     def idempotent(self) -> bool:
-        """Return whether the method may be repeated (RFC 9110 section 9.2.2)."""
+        """Return whether the method is idempotent (RFC 9110 section 9.2.2)."""
         return self.method in {'GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'}
--- a/comfreywind/entry/forwarder.py
+++ b/comfreywind/entry/forwarder.py
@@ -1,4 +1,4 @@
-"""Sends a request to targets until one answers or the request is given up."""
+"""Forwards a request to a target and the answer to the caller."""
 
 from comfreywind.bundle.rules import PoolRules, QueueRules
 from comfreywind.clock import Clock
@@ -14,10 +14,10 @@
 
 
 class Forwarder:
-    """Claims the idempotency key, runs the request and passes the answer on."""
+    """Claims the idempotency key, runs the request and sends the answer to the caller."""
 
     def __init__(self, caller: TargetCaller, claims: Claims, clock: Clock) -> None:
-        """Use the given parts."""
+        """Use the given components."""
         self._caller = caller
         self._claims = claims
         self._clock = clock
@@ -27,8 +27,8 @@
     ) -> None:
         """Send the request to targets of the pool and the answer to the caller.
 
-        Raises RefusalError when there is no answer, AnswerCutError when it broke off midway. When
-        cancelled, the exchange with the target is ended.
+        Raises RefusalError if there is no answer, AnswerCutError if it is truncated. Cancellation
+        aborts the exchange with the target.
         """
         claim = await self._claim(request, queue)
         run = RequestRun(request, queue, pool, has_claim=claim is not None)
@@ -47,7 +47,7 @@
 
     async def _send(self, answer: TargetAnswer, run: RequestRun, send: Send) -> None:
         request = run.request
-        time_left_s = min(run.pool.max_run_s, self._find_time_left_s(request))
+        time_left_s = min(run.pool.max_run_s, self._compute_remaining_s(request))
         try:
             await send_answer(answer, request.method, request.request_id, time_left_s, send)
         finally:
@@ -58,7 +58,7 @@
             return None
         row_key = f'{request.team}/{request.idempotency_key}'
         fingerprint = find_fingerprint(request, queue.name)
-        return await self._claims.claim(row_key, fingerprint, self._find_time_left_s(request))
+        return await self._claims.claim(row_key, fingerprint, self._compute_remaining_s(request))
 
-    def _find_time_left_s(self, request: CallerRequest) -> float:
+    def _compute_remaining_s(self, request: CallerRequest) -> float:
         return max(0, request.deadline_s - self._clock.read_monotonic_s())
--- a/comfreywind/entry/header_rules.py
+++ b/comfreywind/entry/header_rules.py
@@ -1,8 +1,8 @@
-"""Which headers are passed on in each direction."""
+"""Selects the headers that are forwarded in each direction."""
 
 from comfreywind.http.asgi_types import HeaderList
 
-# RFC 9110 section 7.6.1: these belong to one connection.
+# Hop-by-hop headers, which must not be forwarded (RFC 9110 section 7.6.1).
 CONNECTION_HEADERS = frozenset(
     (
         b'connection',
@@ -15,6 +15,7 @@
         b'upgrade',
     )
 )
+# Request headers that the entry handles or sets itself.
 ENTRY_HEADERS = frozenset(
     (
         b'authorization',
@@ -28,27 +29,27 @@
         b'comfreywind-run-until',
     )
 )
-# The entry sets these itself; date is set by the HTTP server. The length is set again, because a
-# whole buffered body has one even when the target sent chunks.
+# Response headers that the entry sets itself; its HTTP server sets date. Content-Length is set anew,
+# because a completely buffered body has a known length even if the target sent chunks.
 ANSWER_HEADERS = frozenset(
     (b'comfreywind-outcome', b'x-request-id', b'date', b'server', b'content-length')
 )
 
 
 def select_request_headers(headers: HeaderList) -> HeaderList:
-    """Return the caller's headers that go to the target."""
-    dropped = CONNECTION_HEADERS | ENTRY_HEADERS | _read_connection_options(headers)
+    """Return the caller's headers that are forwarded to the target."""
+    dropped = CONNECTION_HEADERS | ENTRY_HEADERS | _parse_connection_options(headers)
     return [(name, text) for name, text in headers if name.lower() not in dropped]
 
 
 def select_answer_headers(headers: HeaderList) -> HeaderList:
-    """Return the target's headers that go to the caller."""
-    dropped = CONNECTION_HEADERS | ANSWER_HEADERS | _read_connection_options(headers)
+    """Return the target's headers that are forwarded to the caller."""
+    dropped = CONNECTION_HEADERS | ANSWER_HEADERS | _parse_connection_options(headers)
     return [(name.lower(), text) for name, text in headers if name.lower() not in dropped]
 
 
 def find_header(headers: HeaderList, name: bytes) -> str:
-    """Return the first header of that lower-case name, or an empty text."""
+    """Return the first value of the header with that lower-case name, or an empty string."""
     for header_name, text in headers:
         if header_name.lower() == name:
             return text.decode('latin-1')
@@ -56,19 +57,19 @@
 
 
 def list_headers(headers: HeaderList, name: bytes) -> list[str]:
-    """Return the texts of all headers of that lower-case name."""
+    """Return all values of the header with that lower-case name."""
     return [text.decode('latin-1') for header_name, text in headers if header_name.lower() == name]
 
 
 def join_headers(headers: HeaderList, name: bytes) -> str:
-    """Return all headers of that lower-case name as one list (RFC 9110 section 5.3)."""
+    """Return all values of that lower-case name as one list (RFC 9110 section 5.3)."""
     return ', '.join(list_headers(headers, name))
 
 
-def find_framing_conflict(headers: HeaderList) -> str:
-    """Return why the length of the body is ambiguous, or an empty text.
+def detect_framing_conflict(headers: HeaderList) -> str:
+    """Return why the length of the body is ambiguous, or an empty string.
 
-    A request with both framings is how requests are smuggled past a proxy (RFC 9112 section 6.1).
+    Requests with both headers can be used for request smuggling (RFC 9112 section 6.1).
     """
     if not list_headers(headers, b'transfer-encoding'):
         return ''
@@ -77,7 +78,7 @@
     return ''
 
 
-def _read_connection_options(headers: HeaderList) -> frozenset[bytes]:
+def _parse_connection_options(headers: HeaderList) -> frozenset[bytes]:
     return frozenset(
         option.strip().lower()
         for name, text in headers
--- a/comfreywind/entry/observed_app.py
+++ b/comfreywind/entry/observed_app.py
@@ -1,4 +1,4 @@
-"""Observes the callers' side: metrics and results for the burn report."""
+"""ASGI middleware that records metrics and results of requests."""
 
 from comfreywind.clock import Clock
 from comfreywind.entry.header_rules import find_header
@@ -18,7 +18,7 @@
 
 
 class ObservedApp:
-    """Passes requests on to an app and notes how each of them ended."""
+    """Passes requests to an app and records metrics, decisions and burn report results."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         decisions: DecisionLog,
         clock: Clock,
     ) -> None:
-        """Use the given parts."""
+        """Use the given components."""
         self._app = app
         self._rules_view = rules_view
         self._recorder = recorder
@@ -38,28 +38,28 @@
         self._clock = clock
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request and note its result."""
+        """Serve one request and record its result."""
         started_s = self._clock.read_monotonic_s()
-        seen_start: Message = {}
+        start_message: Message = {}
         complete = False
 
-        async def observe_send(message: Message) -> None:
+        async def send_observed(message: Message) -> None:
             nonlocal complete
             if message['type'] == 'http.response.start':
-                seen_start.update(message)
+                start_message.update(message)
             await send(message)
             if message['type'] == 'http.response.body' and not message.get('more_body', False):
                 complete = True
 
         try:
-            await self._app(scope, receive, observe_send)
+            await self._app(scope, receive, send_observed)
         finally:
-            if seen_start and SCOPE_QUEUE in scope:
+            if start_message and SCOPE_QUEUE in scope:
                 duration_s = self._clock.read_monotonic_s() - started_s
-                self._note(_make_facts(scope, seen_start, duration_s, complete))
+                self._record(_make_facts(scope, start_message, duration_s, complete))
 
-    def _note(self, facts: RequestFacts) -> None:
-        result = classify_request(facts, self._find_latency_limit_s(facts.queue))
+    def _record(self, facts: RequestFacts) -> None:
+        result = classify_request(facts, self._get_latency_limit_s(facts.queue))
         self._metrics.count(f'requests.{facts.queue}.{facts.reason or facts.outcome}')
         self._metrics.record_duration(f'request_duration.{facts.queue}', facts.duration_s)
         self._record_request(facts)
@@ -78,7 +78,7 @@
             complete=facts.complete,
         )
 
-    def _find_latency_limit_s(self, queue: str) -> float:
+    def _get_latency_limit_s(self, queue: str) -> float:
         rules = self._rules_view.rules
         for objective in rules.objectives if rules else ():
             if objective.queue == queue:
--- a/comfreywind/entry/refusal_error.py
+++ b/comfreywind/entry/refusal_error.py
@@ -1,13 +1,13 @@
-"""Carries a refusal up to the caller's side."""
+"""Exception for refused requests."""
 
 from comfreywind.decisions.refusal import Refusal
 from comfreywind.errors import ComfreywindError
 
 
 class RefusalError(ComfreywindError):
-    """Ends a request with a refusal."""
+    """Raised to end a request with a refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
-        """Keep the refusal that the caller gets."""
+        """Store the refusal that is sent to the caller."""
         super().__init__(refusal.detail)
         self.refusal = refusal
--- a/comfreywind/entry/request_run.py
+++ b/comfreywind/entry/request_run.py
@@ -1,4 +1,4 @@
-"""The attempts of one request so far."""
+"""State of a request across its attempts."""
 
 from comfreywind.bundle.rules import PoolRules, QueueRules
 from comfreywind.decisions.attempt import Attempt, AttemptEnd, get_outcome
@@ -12,7 +12,7 @@
 
 
 class RequestRun:
-    """Collects what is known of a request that may need several attempts."""
+    """Collects the results of the attempts of a request."""
 
     def __init__(
         self, request: CallerRequest, queue: QueueRules, pool: PoolRules, has_claim: bool
@@ -42,7 +42,7 @@
         )
 
     def record(self, attempt: Attempt, placement: Placement) -> None:
-        """Take the result of an attempt."""
+        """Record the result of an attempt at the target of the placement."""
         self.call = None
         self.refused_at = None
         if get_outcome(attempt) is not Outcome.NOT_RUN:
@@ -54,7 +54,7 @@
             self.failed_targets |= {placement.target.name}
 
     def get_outcome(self) -> Outcome:
-        """Return what is known of the request now."""
+        """Return the outcome of the request as far as it is known."""
         if self.answered:
             return Outcome.ANSWERED
         if self.call is not None and self.call.make_attempt(AttemptEnd.BROKEN).byte_sent:
@@ -62,15 +62,13 @@
         return Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN
 
     def make_refusal(self, attempt: Attempt, target_name: str) -> Refusal:
-        """Return the final refusal after the last attempt."""
+        """Return the refusal that the caller gets after the last attempt."""
         outcome = self.get_outcome()
-        reason, detail = _explain(attempt, outcome)
-        return Refusal(
-            reason, f'{target_name} {detail}', outcome, self._find_retry_after_s(outcome)
-        )
+        reason, detail = _get_reason_and_detail(attempt, outcome)
+        return Refusal(reason, f'{target_name} {detail}', outcome, self._get_retry_after_s(outcome))
 
     def adjust_refusal(self, refusal: Refusal) -> Refusal:
-        """Return a refusal of the queue as it holds after earlier attempts."""
+        """Return a refusal by the queue, with the outcome corrected for earlier attempts."""
         if self.get_outcome() is Outcome.NOT_RUN:
             return refusal
         detail = f'an attempt failed and no other followed: {refusal.detail}'
@@ -78,17 +76,17 @@
             RefusalReason.TARGET_FAILED,
             detail,
             Outcome.UNKNOWN,
-            self._find_retry_after_s(Outcome.UNKNOWN),
+            self._get_retry_after_s(Outcome.UNKNOWN),
         )
 
-    def _find_retry_after_s(self, outcome: Outcome) -> float | None:
-        """Return when to repeat; a repeat of what may have run helps only if it can't run twice."""
+    def _get_retry_after_s(self, outcome: Outcome) -> float | None:
+        """Return the delay before a retry, or None if a retry could run the request twice."""
         if outcome is Outcome.NOT_RUN or self.request.idempotent or self._has_claim:
             return RETRY_AFTER_S
         return None
 
 
-def _explain(attempt: Attempt, outcome: Outcome) -> tuple[RefusalReason, str]:
+def _get_reason_and_detail(attempt: Attempt, outcome: Outcome) -> tuple[RefusalReason, str]:
     if attempt.end is AttemptEnd.REFUSED and outcome is Outcome.NOT_RUN:
         return RefusalReason.NO_TARGET, 'and others have no free slot'
     if attempt.end is AttemptEnd.TIMED_OUT and outcome is Outcome.NOT_RUN:
--- a/tests/helpers/dispatch_rig.py
+++ b/tests/helpers/dispatch_rig.py
@@ -1,4 +1,4 @@
-"""Dispatchers of several entries with targets that state when they are full."""
+"""Test harness: dispatchers of several entries and targets that reject requests when full."""
 
 import random
 from collections import Counter, defaultdict
@@ -44,8 +44,8 @@
     }
 
 
-class DispatchRig:
-    """Entries in one process; requests occupy slots of targets for their run time."""
+class DispatchHarness:
+    """Simulates entries and targets; a request occupies a slot for its run time."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         policy: str = 'shares',
         ceiling_units: int = 1000,
     ) -> None:
-        """Start idle."""
+        """Start without requests."""
         rules = make_rules(parse_bundle(make_bundle(weights, ceiling_units), 'test'), 1)
         self.queues = rules.queues
         self.vms = [_make_vm(index) for index in range(targets)]
@@ -94,12 +94,12 @@
         self.exchanges.append(LoadExchange(MemoryHub(f'entry-{index}', hubs), dispatcher, clock))
 
     def make_ticket(self, team: str, queue: str = 'rebuild', wait_s: float = 30) -> Ticket:
-        """Return a ticket with a deadline."""
+        """Return a ticket whose deadline is `wait_s` seconds from now."""
         deadline_s = trio.current_time() + wait_s
         return Ticket('request', self.queues[queue], team, deadline_s)
 
     async def run_reports(self) -> None:
-        """Exchange loads; the entries do not do so at the same time."""
+        """Exchange load reports; the entries report at staggered times."""
         async with trio.open_nursery() as nursery:
             for exchange in self.exchanges:
                 nursery.start_soon(exchange.run, REPORT_INTERVAL_S)
@@ -113,7 +113,7 @@
         queue: str = 'rebuild',
         wait_s: float = 30,
     ) -> None:
-        """Send one request through an entry and note what came of it."""
+        """Send one request through an entry and count its result."""
         dispatcher = self.dispatchers[entry]
         ticket = self.make_ticket(team, queue, wait_s)
         arrived_s = trio.current_time()
@@ -148,7 +148,10 @@
         run_s: float,
         arrived_s: float,
     ) -> bool:
-        """Run and release the request; return False, with the place still held, if it was not run."""
+        """Run the request and release its placement.
+
+        Returns False, with the placement still held, if the target rejected the request as full.
+        """
         accepted = False
         try:
             await trio.sleep(ROUND_TRIP_S)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher of one entry: wake-ups, bounds, deadlines, cancellations and the order of starts."""
+"""Dispatcher of one entry: wake-ups, queue limit, deadlines, cancellation and start order."""
 
 import pytest
 import trio
@@ -7,65 +7,65 @@
 from comfreywind.decisions.refusal import RefusalReason
 from comfreywind.entry.placement import Placement
 from comfreywind.entry.refusal_error import RefusalError
-from tests.helpers.dispatch_rig import SLOTS, DispatchRig
+from tests.helpers.dispatch_rig import SLOTS, DispatchHarness
 
 
-async def hold_all_slots(rig: DispatchRig, team: str) -> list[Placement]:
+async def fill_all_slots(harness: DispatchHarness, team: str) -> list[Placement]:
     """Return placements that fill every slot."""
-    ticket = rig.make_ticket(team)
-    return [await rig.dispatchers[0].acquire(ticket) for _ in range(len(rig.vms) * SLOTS)]
+    ticket = harness.make_ticket(team)
+    return [await harness.dispatchers[0].acquire(ticket) for _ in range(len(harness.vms) * SLOTS)]
 
 
 async def test_queue_bound(autojump_clock: MockClock) -> None:
-    """Guards against queues that grow without bound when nothing ends."""
-    rig = DispatchRig({'rosters': 1}, targets=1)
+    """While no request ends, a queue without a limit would grow indefinitely."""
+    harness = DispatchHarness({'rosters': 1}, targets=1)
     async with trio.open_nursery() as nursery:
         for _ in range(300):
-            nursery.start_soon(rig.call, 'rosters', 100, 0, 'rebuild', 1)
-    queue_limit = rig.queues['rebuild'].queue_limit
-    assert rig.count_refused('rosters', RefusalReason.QUEUE_FULL) == 300 - SLOTS - queue_limit
-    assert rig.count_refused('rosters', RefusalReason.DEADLINE_IN_QUEUE) == queue_limit
+            nursery.start_soon(harness.call, 'rosters', 100, 0, 'rebuild', 1)
+    queue_limit = harness.queues['rebuild'].queue_limit
+    assert harness.count_refused('rosters', RefusalReason.QUEUE_FULL) == 300 - SLOTS - queue_limit
+    assert harness.count_refused('rosters', RefusalReason.DEADLINE_IN_QUEUE) == queue_limit
 
 
 async def test_deadline_is_kept_to(autojump_clock: MockClock) -> None:
-    """Guards against requests that wait past their deadline, or give up before it."""
-    rig = DispatchRig({'rosters': 1}, targets=1)
-    await hold_all_slots(rig, 'rosters')
+    """A waiting request must be refused at its deadline, neither later nor earlier."""
+    harness = DispatchHarness({'rosters': 1}, targets=1)
+    await fill_all_slots(harness, 'rosters')
     started_s = trio.current_time()
     with pytest.raises(RefusalError) as caught:
-        await rig.dispatchers[0].acquire(rig.make_ticket('rosters', wait_s=0.7))
+        await harness.dispatchers[0].acquire(harness.make_ticket('rosters', wait_s=0.7))
     assert caught.value.refusal.reason is RefusalReason.DEADLINE_IN_QUEUE
     assert trio.current_time() - started_s == pytest.approx(0.7, abs=0.001)
 
 
 async def test_cancellation_wave_frees_places(autojump_clock: MockClock) -> None:
-    """Guards against cancelled requests that keep their place in the queue or take a slot."""
-    rig = DispatchRig({'rosters': 1}, targets=1)
-    placements = await hold_all_slots(rig, 'rosters')
-    queue_limit = rig.queues['rebuild'].queue_limit
+    """Cancelled requests that stay queued would count for the queue limit or get slots."""
+    harness = DispatchHarness({'rosters': 1}, targets=1)
+    placements = await fill_all_slots(harness, 'rosters')
+    queue_limit = harness.queues['rebuild'].queue_limit
     with trio.CancelScope() as wave:
         async with trio.open_nursery() as nursery:
             for _ in range(queue_limit):
-                nursery.start_soon(rig.dispatchers[0].acquire, rig.make_ticket('rosters'))
+                nursery.start_soon(harness.dispatchers[0].acquire, harness.make_ticket('rosters'))
             await trio.testing.wait_all_tasks_blocked()
             wave.cancel()
     async with trio.open_nursery() as nursery:
         for _ in range(queue_limit):
-            nursery.start_soon(rig.call, 'rosters', 0.01)
+            nursery.start_soon(harness.call, 'rosters', 0.01)
         await trio.testing.wait_all_tasks_blocked()
         for placement in placements:
-            rig.dispatchers[0].release(placement)
-    assert rig.results == {('rosters', 'in-time'): queue_limit}
+            harness.dispatchers[0].release(placement)
+    assert harness.results == {('rosters', 'in-time'): queue_limit}
 
 
 async def test_order_of_one_team(autojump_clock: MockClock) -> None:
-    """Guards against requests of one queue that overtake each other."""
-    rig = DispatchRig({'rosters': 1}, targets=1)
-    placements = await hold_all_slots(rig, 'rosters')
+    """Requests of one queue must start in the order of their arrival."""
+    harness = DispatchHarness({'rosters': 1}, targets=1)
+    placements = await fill_all_slots(harness, 'rosters')
     order: list[int] = []
 
     async def wait_for_place(number: int) -> None:
-        await rig.dispatchers[0].acquire(rig.make_ticket('rosters'))
+        await harness.dispatchers[0].acquire(harness.make_ticket('rosters'))
         order.append(number)
 
     async with trio.open_nursery() as nursery:
@@ -73,24 +73,24 @@
             nursery.start_soon(wait_for_place, number)
             await trio.testing.wait_all_tasks_blocked()
         for placement in placements:
-            rig.dispatchers[0].release(placement)
+            harness.dispatchers[0].release(placement)
             await trio.testing.wait_all_tasks_blocked()
     assert order == list(range(SLOTS))
 
 
 async def test_refused_request_goes_to_the_front(autojump_clock: MockClock) -> None:
-    """Guards against a request that loses its turn because a target had no free slot."""
-    rig = DispatchRig({'rosters': 1}, targets=1)
-    placements = await hold_all_slots(rig, 'rosters')
-    dispatcher = rig.dispatchers[0]
+    """A request that a full target rejected must start before requests that arrived later."""
+    harness = DispatchHarness({'rosters': 1}, targets=1)
+    placements = await fill_all_slots(harness, 'rosters')
+    dispatcher = harness.dispatchers[0]
     order: list[str] = []
 
     async def wait_again() -> None:
-        await dispatcher.reacquire(rig.make_ticket('rosters'), placements[0])
+        await dispatcher.reacquire(harness.make_ticket('rosters'), placements[0])
         order.append('refused')
 
     async def wait_first_time() -> None:
-        await dispatcher.acquire(rig.make_ticket('rosters'))
+        await dispatcher.acquire(harness.make_ticket('rosters'))
         order.append('new')
 
     async with trio.open_nursery() as nursery:
@@ -106,14 +106,17 @@
 
 
 async def test_units_wake_waiting_requests(autojump_clock: MockClock) -> None:
-    """Guards against requests that sleep on although units have arrived, and a wrong demand."""
-    rig = DispatchRig({'rosters': 1, 'timetables': 1})
-    units = rig.units[0]
+    """Requests that wait for units must start when units arrive and be reported as demand.
+
+    Otherwise they would sleep until their deadline, or the source would get too few or many units.
+    """
+    harness = DispatchHarness({'rosters': 1, 'timetables': 1})
+    units = harness.units[0]
     units.free['rosters'] = 0
     async with trio.open_nursery() as nursery:
         for _ in range(3):
-            nursery.start_soon(rig.call, 'rosters', 1)
-        nursery.start_soon(rig.call, 'timetables', 1)
+            nursery.start_soon(harness.call, 'rosters', 1)
+        nursery.start_soon(harness.call, 'timetables', 1)
         await trio.testing.wait_all_tasks_blocked()
         assert units.waiting['rosters'] == 3
         started_s = trio.current_time()
@@ -125,46 +128,50 @@
 
 
 async def test_new_targets_wake_waiting_requests(autojump_clock: MockClock) -> None:
-    """Guards against requests that sleep on although the fleet has grown."""
-    rig = DispatchRig({'rosters': 1}, targets=2)
-    rig.fleet_views[0].apply_vm_list([])
+    """New targets must wake waiting requests, which would otherwise sleep until their deadline."""
+    harness = DispatchHarness({'rosters': 1}, targets=2)
+    harness.fleet_views[0].apply_vm_list([])
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(rig.call, 'rosters', 1)
+        nursery.start_soon(harness.call, 'rosters', 1)
         await trio.sleep(3)
-        rig.fleet_views[0].apply_vm_list(rig.vms)
+        harness.fleet_views[0].apply_vm_list(harness.vms)
     assert trio.current_time() == pytest.approx(4, abs=0.1)
-    assert rig.results == {('rosters', 'in-time'): 1}
+    assert harness.results == {('rosters', 'in-time'): 1}
 
 
 async def test_pool_without_targets(autojump_clock: MockClock) -> None:
-    """Guards against blaming the caller's deadline when the pool has no target."""
-    rig = DispatchRig({'rosters': 1}, targets=0)
-    await rig.call('rosters', 1, 0, 'rebuild', 2)
-    assert rig.count_refused('rosters', RefusalReason.NO_TARGET) == 1
+    """The refusal must name the missing target, not the deadline, if the pool has no target."""
+    harness = DispatchHarness({'rosters': 1}, targets=0)
+    await harness.call('rosters', 1, 0, 'rebuild', 2)
+    assert harness.count_refused('rosters', RefusalReason.NO_TARGET) == 1
 
 
 async def test_hopeless_deadline_is_refused_on_arrival(autojump_clock: MockClock) -> None:
-    """Guards against requests that wait for a start that comes too late for their deadline."""
-    rig = DispatchRig({'rosters': 1}, targets=1)
+    """A request must be refused on arrival if the queue is too long for its deadline."""
+    harness = DispatchHarness({'rosters': 1}, targets=1)
     for _ in range(10):
-        await rig.call('rosters', 1)
+        await harness.call('rosters', 1)
     async with trio.open_nursery() as nursery:
         for _ in range(SLOTS * 4):
-            nursery.start_soon(rig.call, 'rosters', 1)
+            nursery.start_soon(harness.call, 'rosters', 1)
         await trio.testing.wait_all_tasks_blocked()
         started_s = trio.current_time()
-        await rig.call('rosters', 1, 0, 'rebuild', 2)
+        await harness.call('rosters', 1, 0, 'rebuild', 2)
         assert trio.current_time() == started_s
-    assert rig.count_refused('rosters', RefusalReason.DEADLINE_IN_QUEUE) == 1
+    assert harness.count_refused('rosters', RefusalReason.DEADLINE_IN_QUEUE) == 1
 
 
 async def test_estimate_recovers(autojump_clock: MockClock) -> None:
-    """Guards against refusing for ever because of an estimate that no run can correct."""
-    rig = DispatchRig({'rosters': 1})
+    """The run time estimate must expire.
+
+    An estimate that is too high rejects the requests whose runs would correct it, so that without
+    an expiry all requests would be refused.
+    """
+    harness = DispatchHarness({'rosters': 1})
     for _ in range(10):
-        await rig.call('rosters', 5)
-    await rig.call('rosters', 0.1, 0, 'rebuild', 1)
-    assert rig.count_refused('rosters', RefusalReason.DEADLINE_IN_QUEUE) == 1
+        await harness.call('rosters', 5)
+    await harness.call('rosters', 0.1, 0, 'rebuild', 1)
+    assert harness.count_refused('rosters', RefusalReason.DEADLINE_IN_QUEUE) == 1
     await trio.sleep(30)
-    await rig.call('rosters', 0.1, 0, 'rebuild', 1)
-    assert rig.count_refused('rosters', RefusalReason.DEADLINE_IN_QUEUE) == 1
+    await harness.call('rosters', 0.1, 0, 'rebuild', 1)
+    assert harness.count_refused('rosters', RefusalReason.DEADLINE_IN_QUEUE) == 1
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -5,7 +5,7 @@
 from trio.testing import MockClock
 
 from comfreywind.decisions.fair_share import ShareClaim, compute_fair_shares
-from tests.helpers.dispatch_rig import SLOTS, DispatchRig
+from tests.helpers.dispatch_rig import SLOTS, DispatchHarness
 
 WARM_UP_S = 5
 MEASURED_S = 10
@@ -13,7 +13,7 @@
 
 
 async def measure_shares(
-    harness: DispatchRig, loads: list[tuple[str, int, float, float]]
+    harness: DispatchHarness, loads: list[tuple[str, int, float, float]]
 ) -> dict[str, float]:
     """Return the mean number of slots that each team uses.
 
@@ -72,7 +72,7 @@
     loads: list[tuple[str, int, float, float]],
 ) -> None:
     """Under load, each team must get at least 90% of its fair share of all slots."""
-    harness = DispatchRig(weights, entries=1 + max(load[1] for load in loads))
+    harness = DispatchHarness(weights, entries=1 + max(load[1] for load in loads))
     slots = await measure_shares(harness, loads)
     demand = {team: sum(load[2] * load[3] for load in loads if load[0] == team) for team in weights}
     claims = {team: ShareClaim(weights[team], demand[team]) for team in weights}
@@ -91,7 +91,7 @@
     autojump_clock: MockClock, entries: int, run_s: float, urgent_hz: float
 ) -> None:
     """Urgent work must start within 1.3 s although the pool is full."""
-    harness = DispatchRig({'greedy': 3, 'rosters': 1}, entries=entries)
+    harness = DispatchHarness({'greedy': 3, 'rosters': 1}, entries=entries)
     with trio.move_on_after(URGENT_TEST_S):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(harness.run_reports)
@@ -108,7 +108,7 @@
 
 async def test_burst_of_one_team(autojump_clock: MockClock) -> None:
     """A burst must not delay other teams, and it must get the slots that are free."""
-    harness = DispatchRig({'greedy': 1, 'rosters': 1}, entries=3)
+    harness = DispatchHarness({'greedy': 1, 'rosters': 1}, entries=3)
     with trio.move_on_after(12):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(harness.run_reports)
@@ -128,7 +128,7 @@
 
 async def test_cancellation_wave_over_entries(autojump_clock: MockClock) -> None:
     """When many requests are cancelled at once, all their slots and units must become free."""
-    harness = DispatchRig({'greedy': 1, 'rosters': 1}, entries=3)
+    harness = DispatchHarness({'greedy': 1, 'rosters': 1}, entries=3)
     for units in harness.units:
         units.free['greedy'] = 5
     async with trio.open_nursery() as nursery:
@@ -148,7 +148,7 @@
 
 async def test_excess_goes_to_whoever_needs_it(autojump_clock: MockClock) -> None:
     """Slots must not be left free for a peer whose team has no units to use them."""
-    harness = DispatchRig({'greedy': 1, 'rosters': 1}, entries=2)
+    harness = DispatchHarness({'greedy': 1, 'rosters': 1}, entries=2)
     harness.units[1].free['rosters'] = 1
     loads = [('greedy', 0, 400.0, 0.2), ('rosters', 1, 100.0, 0.2)]
     slots = await measure_shares(harness, loads)
