--- a/comfreywind/entry/caller_app.py
+++ b/comfreywind/entry/caller_app.py
@@ -95,8 +95,8 @@
                 request_id,
             )
         except AnswerCutError as error:
-            # On return, the server closes the connection without the end of the body, so that the caller
-            # recognizes the truncated answer.
+            # On return, the server closes the connection without the end of the body, so that the
+            # caller recognizes the truncated answer.
             log.warning('request %s: closing the connection to the caller: %s', request_id, error)
 
     async def _serve(self, scope: Scope, body: CallerBody, send: Send, request_id: str) -> None:
--- a/comfreywind/entry/dispatcher.py
+++ b/comfreywind/entry/dispatcher.py
@@ -298,7 +298,7 @@
         self, pool: PoolQueue, team: TeamQueue, waiter: Waiter, target: VmEntry
     ) -> StartResult:
         ticket = waiter.ticket
-        if not self._units.try_take(ticket.team):
+        if not self._units.try_acquire_unit(ticket.team):
             team.lacks_unit = True
             self._unit_demand.add_pool(ticket.team, ticket.queue.pool)
             return StartResult.TEAM_BLOCKED
@@ -316,7 +316,7 @@
         return StartResult.PROGRESS
 
     def _return_unit(self, placement: Placement) -> None:
-        self._units.give_back(placement.team)
+        self._units.release_unit(placement.team)
         self.wake_team(placement.team)
 
     def _get_pool(self, name: str) -> PoolQueue:
--- a/comfreywind/entry/even_split_units.py
+++ b/comfreywind/entry/even_split_units.py
@@ -15,7 +15,7 @@
         self._entries_count = entries_count
         self._used: Counter[str] = Counter()
 
-    def try_take(self, team: str) -> bool:
+    def try_acquire_unit(self, team: str) -> bool:
         """Acquire one unit of this entry's share if one is free."""
         rules = self._rules_view.rules
         if rules is None or team not in rules.teams:
@@ -25,7 +25,7 @@
         self._used[team] += 1
         return True
 
-    def give_back(self, team: str) -> None:
+    def release_unit(self, team: str) -> None:
         """Release a unit of this entry's share."""
         self._used[team] -= 1
 
@@ -37,7 +37,7 @@
         return self._rules_view.read_fresh_left_s()
 
     def subscribe(self, wake_team: WakeTeam) -> None:
-        """Ignore the function; units become free only through `give_back`."""
+        """Ignore the function; units become free only through `release_unit`."""
 
     async def run(self) -> None:
         """Do nothing; the split is fixed."""
--- a/comfreywind/entry/header_rules.py
+++ b/comfreywind/entry/header_rules.py
@@ -29,8 +29,8 @@
         b'comfreywind-run-until',
     )
 )
-# Response headers that the entry sets itself; its HTTP server sets date. Content-Length is set anew,
-# because a completely buffered body has a known length even if the target sent chunks.
+# Response headers that the entry sets itself; its HTTP server sets date. Content-Length is set
+# anew, because a completely buffered body has a known length even if the target sent chunks.
 ANSWER_HEADERS = frozenset(
     (b'comfreywind-outcome', b'x-request-id', b'date', b'server', b'content-length')
 )
--- a/comfreywind/entry/pool_queue.py
+++ b/comfreywind/entry/pool_queue.py
@@ -155,7 +155,7 @@
         team.urgent_allowed = entitlement is None or running < max(1, entitlement)
 
     def _compute_mean_run_s(self, now_s: float) -> float:
-        """Return the mean run time in seconds, weighted so that it gives the current rate of ends."""
+        """Return the mean run time that corresponds to the current rate of completions."""
         services = [
             (team.running, team.get_service_time(now_s)) for team in self._active_teams.values()
         ]
--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -117,14 +117,14 @@
             and not is_committed(self.session_state, holder)
         )
 
-    def try_take(self, team: str) -> bool:
+    def try_acquire_unit(self, team: str) -> bool:
         """Use one idle unit of the team if there is one and work may start."""
         if not self.is_valid() or self.is_blocked(team) or self.count_idle(team) <= 0:
             return False
         self.used[team] += 1
         return True
 
-    def give_back(self, team: str) -> None:
+    def release_unit(self, team: str) -> None:
         """Free one unit; those of an earlier incarnation first, as they can't be told apart."""
         if self.orphaned[team] > 0:
             self.orphaned[team] -= 1
--- a/comfreywind/entry/portions/portion_keeper.py
+++ b/comfreywind/entry/portions/portion_keeper.py
@@ -78,13 +78,13 @@
         self.view.subscribe(self._see_view)
         rules_view.subscribe(self._see_rules)
 
-    def try_take(self, team: str) -> bool:
+    def try_acquire_unit(self, team: str) -> bool:
         """Take one unit of the team's ceiling if this entry holds a free one and may use it."""
-        return self.book.try_take(team)
+        return self.book.try_acquire_unit(team)
 
-    def give_back(self, team: str) -> None:
+    def release_unit(self, team: str) -> None:
         """Return a unit whose request has ended."""
-        self.book.give_back(team)
+        self.book.release_unit(team)
         self._exchange.give_owed(team)
 
     def report_waiting(self, team: str, waiting_count: int) -> None:
@@ -99,7 +99,7 @@
         return self.book.read_session_left_s()
 
     def subscribe(self, wake_team: WakeTeam) -> None:
-        """Call the function with a team's name when `try_take` may succeed for it again."""
+        """Call the function with a team's name when `try_acquire_unit` may succeed for it again."""
         self.book.subscribe(wake_team)
 
     async def run(self) -> None:
--- a/comfreywind/entry/target_admission.py
+++ b/comfreywind/entry/target_admission.py
@@ -12,7 +12,7 @@
         """Return whether the target may get a request of this kind now."""
 
     def count_failure_load(self, vm: VmEntry) -> int:
-        """Return the number of outstanding requests that recent failures weigh as much as."""
+        """Return the load of the target's recent failures, in equivalent outstanding requests."""
 
 
 class AdmitAll:
--- a/comfreywind/entry/target_call.py
+++ b/comfreywind/entry/target_call.py
@@ -22,10 +22,10 @@
     """Sends a request to a target and repeats it over a new connection if there is no response.
 
     A reused connection may be dead without having been closed. If no byte arrives on it within
-    `silence_s` seconds, the idle connections of its generation and older are closed, and the request
-    is repeated as soon as `reserve_repeat` returns a function that releases what the repeat holds
-    (docs/design.md, 3.6). The first answer is used. If `reserve_repeat` is None, the request is not
-    repeated.
+    `silence_s` seconds, the idle connections of its generation and older are closed, and the
+    request is repeated as soon as `reserve_repeat` returns a function that releases what the repeat
+    holds (docs/design.md, 3.6). The first answer is used. If `reserve_repeat` is None, the request
+    is not repeated.
     """
 
     def __init__(
--- a/comfreywind/entry/target_caller.py
+++ b/comfreywind/entry/target_caller.py
@@ -155,13 +155,13 @@
         Returns None if the retry budget is spent or the team has no free unit.
         """
         now_s = self._clock.read_monotonic_s()
-        if not allows_retry(self._budget, now_s) or not self._units.try_take(team):
+        if not allows_retry(self._budget, now_s) or not self._units.try_acquire_unit(team):
             return None
         self._budget = record_retry(self._budget, now_s)
         return partial(self._release_repeat, team)
 
     def _release_repeat(self, team: str) -> None:
-        self._units.give_back(team)
+        self._units.release_unit(team)
         self._dispatcher.wake_team(team)
 
     def _make_request(
--- a/comfreywind/entry/target_health.py
+++ b/comfreywind/entry/target_health.py
@@ -57,7 +57,7 @@
         )
 
     def count_failure_load(self, vm: VmEntry) -> int:
-        """Return the number of outstanding requests that the VM's recent failures weigh as much as."""
+        """Return the load of the VM's recent failures, in equivalent outstanding requests."""
         record = self._records.get(vm.name)
         return 0 if record is None else compute_failure_load(record, self._clock.read_monotonic_s())
 
--- a/comfreywind/entry/target_pool.py
+++ b/comfreywind/entry/target_pool.py
@@ -29,8 +29,8 @@
     """Chooses targets by estimated load and prefers those in the data centre of the entry.
 
     The estimated load of a target is the number of this entry's outstanding requests there plus
-    those of its peers. The peers' number is taken from their reports or inferred from a rejection by
-    the target, whichever is higher.
+    those of its peers. The peers' number is taken from their reports or inferred from a rejection
+    by the target, whichever is higher.
     """
 
     def __init__(
@@ -119,7 +119,7 @@
         self._update(name)
 
     def record_rejection(self, name: str, full_until_s: float) -> None:
-        """Stop counting a request that the target rejected; treat it as full until `full_until_s`."""
+        """Stop counting a rejected request; treat the target as full until `full_until_s`."""
         self._own_outstanding[name] -= 1
         self._inferred[name] = InferredLoad(self._slots - self._own_outstanding[name], full_until_s)
         self._update(name)
--- a/comfreywind/entry/target_work.py
+++ b/comfreywind/entry/target_work.py
@@ -8,7 +8,7 @@
 from comfreywind.entry.target_connection import TargetConnection
 from comfreywind.entry.target_connections import TargetConnections
 
-# Upper limit of the difference between the clocks of the entry and the worker (docs/design.md, 5.1).
+# Upper limit of the clock difference between the entry and the worker (docs/design.md, 5.1).
 LEASE_MARGIN_S = 2.0
 
 
@@ -16,9 +16,9 @@
     """Holds a connection and a unit until the task at the target has ended.
 
     An executor stops a task whose connection is closed and then closes its own side. An aborted
-    exchange therefore releases its unit when the target has closed the connection, but no later than
-    `LEASE_MARGIN_S` after the end of the lease, which the worker enforces. If the unit were released
-    earlier, the team could exceed its ceiling.
+    exchange therefore releases its unit when the target has closed the connection, but no later
+    than `LEASE_MARGIN_S` after the end of the lease, which the worker enforces. If the unit were
+    released earlier, the team could exceed its ceiling.
     """
 
     def __init__(
@@ -40,8 +40,8 @@
     def end(self, complete: bool = False, keeps_placement: bool = False) -> None:
         """Release the connection and the unit; if the answer is incomplete, wait for the target.
 
-        With `keeps_placement` only the connection is released: the target has rejected the request, and
-        the caller of this method releases the placement as not used.
+        With `keeps_placement` only the connection is released: the target has rejected the request,
+        and the caller of this method releases the placement as not used.
         """
         if self._ended:
             return
--- a/comfreywind/entry/team_queue.py
+++ b/comfreywind/entry/team_queue.py
@@ -9,8 +9,8 @@
 from comfreywind.entry.placement import Placement
 from comfreywind.entry.waiter import Waiter
 
-# Time after the last completed run when the run time estimate is dropped. While an outdated estimate
-# rejects all requests, no run can correct it.
+# The run time estimate expires this time plus two mean run times after the last completed run.
+# Otherwise an outdated estimate could reject all requests, and no run would correct it.
 ESTIMATE_TTL_S = 10
 # Charged for a start while the team has no run time estimate.
 DEFAULT_RUN_S = 0.1
--- a/tests/helpers/free_units.py
+++ b/tests/helpers/free_units.py
@@ -13,7 +13,7 @@
         self.waiting: Counter[str] = Counter()
         self._wake_team: Callable[[str], None] | None = None
 
-    def try_take(self, team: str) -> bool:
+    def try_acquire_unit(self, team: str) -> bool:
         """Take a unit if one is free."""
         if team not in self.free:
             return True
@@ -22,7 +22,7 @@
         self.free[team] -= 1
         return True
 
-    def give_back(self, team: str) -> None:
+    def release_unit(self, team: str) -> None:
         """Return a unit."""
         if team in self.free:
             self.free[team] += 1
--- a/tests/portions/test_unit_turns.py
+++ b/tests/portions/test_unit_turns.py
@@ -83,11 +83,11 @@
     def step(self, now_s: float) -> None:
         """Go on to the other entry when the work has ended, or start what waits."""
         book = self._entry.book
-        if self._ends_s < 0 and book.try_take(TEAM):
+        if self._ends_s < 0 and book.try_acquire_unit(TEAM):
             book.waiting[TEAM] -= 1
             self._ends_s = now_s + self._random.uniform(*WORK_S)
         elif 0 <= self._ends_s <= now_s:
-            book.give_back(TEAM)
+            book.release_unit(TEAM)
             self._entry.exchange.give_owed(TEAM)
             self._entry, self._other, self._ends_s = self._other, self._entry, -1.0
             self._entry.book.waiting[TEAM] += 1
@@ -109,7 +109,7 @@
             client.step(now_s)
         if now_s > begun_s + WARM_UP_S:
             waiting.book.waiting[TEAM] = 1
-            taken = waiting.book.try_take(TEAM)
+            taken = waiting.book.try_acquire_unit(TEAM)
         for entry in entries:
             entry.exchange.tick()
         clock.advance(TICK_S)
