--- a/comfreywind/entry/portions/portion_book.py
+++ b/comfreywind/entry/portions/portion_book.py
@@ -125,14 +125,14 @@
             and not is_committed(self.session_state, holder)
         )
 
-    def try_take(self, team: str) -> bool:
+    def try_acquire_unit(self, team: str) -> bool:
         """Mark one idle unit of the team as used; return False if there is none or no work may start."""
         if not self.is_valid() or self.is_blocked(team) or self.count_idle(team) <= 0:
             return False
         self.used[team] += 1
         return True
 
-    def give_back(self, team: str) -> None:
+    def release_unit(self, team: str) -> None:
         """Mark one unit as idle.
 
         Which incarnation the unit belongs to is not known, so those of earlier ones are freed first.
