--- a/comfreywind/control/__init__.py
+++ b/comfreywind/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control work: pools, availability budgets, maintenance waves and VM moves."""
+"""Control of pools: availability budgets, maintenance waves, reboots and moves of VMs."""
--- a/comfreywind/control/control_parts.py
+++ b/comfreywind/control/control_parts.py
@@ -1,4 +1,4 @@
-"""What the controllers of all pools share."""
+"""Components that the controllers of all pools share."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -16,8 +16,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ControlParts:
-    """Identity, clients, views and watches of one entry."""
+class ControlComponents:
+    """The identity of an entry, and its clients, views and watches for pool control."""
 
     name: str
     incarnation: int
--- a/comfreywind/control/health_watch.py
+++ b/comfreywind/control/health_watch.py
@@ -1,4 +1,4 @@
-"""Observes which VMs work."""
+"""Tracks which VMs work, from the VM list and the probes."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
@@ -17,10 +17,11 @@
 
 
 class HealthWatch:
-    """Joins the VM list with the probes of this entry and notes since when each VM works or fails.
+    """Combines the VM list and this entry's probes, and records since when each VM works or fails.
 
-    The list lags, so the probe counts more: a VM that does not accept connections does not work
-    whatever the list says, and an entry of the list that is older than the VM's row is ignored.
+    The VM list lags, so probes take precedence: a VM that does not accept connections does not
+    work, whatever its state on the list. That state is ignored if the list shows an older
+    incarnation than the VM's row.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -35,11 +36,15 @@
         listed: Mapping[str, VmEntry],
         accepting: Collection[str],
     ) -> None:
-        """Take one round: VMs with the incarnations in their rows, the list and the probes."""
+        """Update all observations.
+
+        `incarnations` maps the VMs to observe to the incarnations in their rows, `listed` is the VM
+        list, and `accepting` names the VMs that accepted a connection when last probed.
+        """
         now_s = self._clock.read_monotonic_s()
         for name, incarnation in incarnations.items():
             vm = listed.get(name)
-            works = name in accepting and vm is not None and _counts_as_live(vm, incarnation)
+            works = name in accepting and vm is not None and _is_treated_as_live(vm, incarnation)
             known = self._observations.get(name)
             since_s = known.since_s if known is not None and known.works == works else now_s
             listed_incarnation = 0 if vm is None else vm.incarnation
@@ -48,7 +53,9 @@
             )
         for name in set(self._observations) - set(incarnations):
             self._observations.pop(name)
-        self._failing = {name for name, seen in self._observations.items() if not seen.works}
+        self._failing = {
+            name for name, observation in self._observations.items() if not observation.works
+        }
 
     def list_failing(self) -> frozenset[str]:
         """Return the VMs that do not work."""
@@ -59,11 +66,16 @@
         now_s = self._clock.read_monotonic_s()
         observed = [(name, self._observations.get(name)) for name in names]
         return {
-            name: VmHealth(seen.works, now_s - seen.since_s, seen.listed, seen.incarnation)
-            for name, seen in observed
-            if seen is not None
+            name: VmHealth(
+                observation.works,
+                now_s - observation.since_s,
+                observation.listed,
+                observation.incarnation,
+            )
+            for name, observation in observed
+            if observation is not None
         }
 
 
-def _counts_as_live(vm: VmEntry, incarnation: int) -> bool:
+def _is_treated_as_live(vm: VmEntry, incarnation: int) -> bool:
     return vm.state == 'live' or vm.incarnation < incarnation
--- a/comfreywind/control/make_control.py
+++ b/comfreywind/control/make_control.py
@@ -1,7 +1,7 @@
-"""Puts the control work of an entry together."""
+"""Creates the control task of an entry."""
 
 from comfreywind.clock import Clock
-from comfreywind.control.control_parts import ControlParts
+from comfreywind.control.control_parts import ControlComponents
 from comfreywind.control.control_task import ControlTask
 from comfreywind.control.control_view import ControlView
 from comfreywind.control.drain_watch import DrainWatch
@@ -30,10 +30,10 @@
     clock: Clock,
     timings: Timings,
 ) -> ControlTask:
-    """Return the control task of the entry."""
-    excuse_s = (timings.fresh_s + timings.session_ttl_s) * (1 + timings.clock_drift_ratio)
-    members = MemberWatch(identity.name, hub, view, read_outstanding, clock, excuse_s)
-    parts = ControlParts(
+    """Return the control task of the entry, with the components of its controllers."""
+    silence_limit_s = (timings.fresh_s + timings.session_ttl_s) * (1 + timings.clock_drift_ratio)
+    members = MemberWatch(identity.name, hub, view, read_outstanding, clock, silence_limit_s)
+    components = ControlComponents(
         name=identity.name,
         incarnation=identity.incarnation,
         tables=tables,
@@ -46,4 +46,4 @@
         clock=clock,
         timings=timings,
     )
-    return ControlTask(parts, rules_view, fleet_view)
+    return ControlTask(components, rules_view, fleet_view)
--- a/comfreywind/control/member_watch.py
+++ b/comfreywind/control/member_watch.py
@@ -1,4 +1,4 @@
-"""Watches what the members have confirmed and which of them have gone."""
+"""Tracks which members may run work on VMs and what they report about it."""
 
 from collections.abc import Callable, Mapping
 
@@ -14,10 +14,11 @@
 
 
 class MemberWatch:
-    """Joins the table `members` with the heartbeats of the peers.
+    """Combines the table `members` with the heartbeats of the peers.
 
-    While the table is empty, the peers that the hub knows count as members, and one that has been
-    silent for `excuse_s` counts as gone: its view is stale by then, so it starts no work.
+    While the table is empty, the peers that the hub knows count as members. A peer from which no
+    message has come for `silence_limit_s` counts as gone: its view is stale by then, so it starts
+    no work.
     """
 
     def __init__(
@@ -27,26 +28,26 @@
         view: ControlView,
         read_outstanding: OutstandingReader,
         clock: Clock,
-        excuse_s: float,
+        silence_limit_s: float,
     ) -> None:
-        """Start now: what earlier members left running is not known."""
+        """Start without members; work of members lost before now may still run."""
         self._own_name = own_name
         self._hub = hub
         self._view = view
         self._read_outstanding = read_outstanding
         self._clock = clock
-        self._excuse_s = excuse_s
+        self._silence_limit_s = silence_limit_s
         self._started_s = clock.read_monotonic_s()
         self._incarnations: dict[str, int] = {}
         self.unreported_since_s = self._started_s
 
     def observe(self) -> None:
-        """Note members that have gone, been fenced or been replaced since the last call.
+        """Set `unreported_since_s` to now if a member was lost since the last call.
 
-        A member that has never been heard of counts too: it may have had work running when it was
-        fenced.
+        A member is lost when it is gone, fenced or replaced by another incarnation. This includes
+        a member that never sent a heartbeat: it may have had work running when it was fenced.
         """
-        states = self._find_states()
+        states = self._get_states_by_name()
         incarnations = {
             name: states[name].identity.incarnation if name in states else UNKNOWN_INCARNATION
             for name in self._list_others(states)
@@ -61,33 +62,33 @@
         self._incarnations = incarnations
 
     def list_alive(self) -> list[str]:
-        """Return the names of the entries that may hold control work, this one included."""
+        """Return the names of the entries that may hold a control lease, this one included."""
         return [self._own_name, *(peer.name for peer in self._hub.list_alive())]
 
     def read_reports(self, vm: str) -> list[MemberReport]:
-        """Return the report of each member about the VM, this entry's own included."""
-        states = self._find_states()
+        """Return the last report of each member about the VM, including that of this entry."""
+        states = self._get_states_by_name()
         own = MemberReport(self._own_name, self._view.sequence, self._read_outstanding().get(vm, 0))
         reports = [_make_report(name, states.get(name), vm) for name in self._list_others(states)]
         return [own, *reports]
 
-    def _find_states(self) -> dict[str, PeerState]:
+    def _get_states_by_name(self) -> dict[str, PeerState]:
         return {state.identity.name: state for state in self._hub.list_states()}
 
     def _list_others(self, states: Mapping[str, PeerState]) -> list[str]:
         rows = list(self._view.list_rows(TABLE_MEMBERS))
         if rows:
-            named = [seen.row.key for seen in rows if not (seen.row.value or {}).get('fenced')]
-        else:
             named = [
-                name for name in self._hub.list_members() if not self._is_excused(name, states)
+                member.row.key for member in rows if not (member.row.value or {}).get('fenced')
             ]
+        else:
+            named = [name for name in self._hub.list_members() if not self._is_gone(name, states)]
         return [name for name in named if name != self._own_name]
 
-    def _is_excused(self, name: str, states: Mapping[str, PeerState]) -> bool:
+    def _is_gone(self, name: str, states: Mapping[str, PeerState]) -> bool:
         heard_s = states[name].heard_s if name in states else self._started_s
         silent_s = self._clock.read_monotonic_s() - max(heard_s, self._started_s)
-        return silent_s > self._excuse_s
+        return silent_s > self._silence_limit_s
 
 
 def _make_report(name: str, state: PeerState | None, vm: str) -> MemberReport:
--- a/comfreywind/control/pool_lookup.py
+++ b/comfreywind/control/pool_lookup.py
@@ -1,12 +1,12 @@
-"""Finds the rules of a pool, also of one that the bundle no longer names."""
+"""Returns the rules of a pool, including one that was removed from the bundle."""
 
 from comfreywind.bundle.rules import PoolRules, Rules
 
-# The limits of a removed pool are not used, since no queue sends work to it.
+# Placeholder for the limits of a removed pool; they are unused, since no queue sends work to it.
 UNUSED_LIMIT = 1
 
 
-def find_pool_rules(rules: Rules, pool: str) -> PoolRules:
+def get_pool_rules(rules: Rules, pool: str) -> PoolRules:
     """Return the rules of the pool.
 
     A pool that still has VMs but is no longer in the bundle requires nothing and is not maintained,
--- a/comfreywind/control/pool_row.py
+++ b/comfreywind/control/pool_row.py
@@ -1,4 +1,4 @@
-"""Makes the rows of the table `budgets`."""
+"""Makes the values of the rows in the table `budgets`."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 def make_pool_fields(plan: PoolPlan) -> dict[str, Any]:
-    """Return the value of a pool's row: budget, stops under way, wave and spare VMs wanted."""
+    """Return the value of the pool's row: budget, planned stops, borrowed VMs, wanted VMs, wave."""
     budget = plan.budget
     return {
         'size': budget.size,
--- a/comfreywind/control/prober.py
+++ b/comfreywind/control/prober.py
@@ -1,4 +1,4 @@
-"""Probes whether VMs accept connections."""
+"""Probes VMs by opening TCP connections."""
 
 from collections.abc import Iterable
 
@@ -6,17 +6,17 @@
 
 from comfreywind.platform.vm_entry import VmEntry
 
-PROBES_AT_ONCE = 128
+MAX_CONCURRENT_PROBES = 128
 
 
 async def probe_vms(vms: Iterable[VmEntry], timeout_s: float) -> frozenset[str]:
     """Return the names of the VMs that accept a TCP connection within the timeout."""
     accepting: set[str] = set()
-    limiter = trio.CapacityLimiter(PROBES_AT_ONCE)
+    limiter = trio.CapacityLimiter(MAX_CONCURRENT_PROBES)
 
     async def probe(vm: VmEntry) -> None:
         async with limiter:
-            if await _accepts(vm, timeout_s):
+            if await _accepts_connection(vm, timeout_s):
                 accepting.add(vm.name)
 
     async with trio.open_nursery() as nursery:
@@ -25,7 +25,7 @@
     return frozenset(accepting)
 
 
-async def _accepts(vm: VmEntry, timeout_s: float) -> bool:
+async def _accepts_connection(vm: VmEntry, timeout_s: float) -> bool:
     with trio.move_on_after(timeout_s):
         try:
             stream = await trio.open_tcp_stream(vm.address.host, vm.address.port)
--- a/comfreywind/control/quiet_watch.py
+++ b/comfreywind/control/quiet_watch.py
@@ -1,4 +1,4 @@
-"""Saves decisions about pools in which nothing happens."""
+"""Skips decisions about pools in which nothing has changed."""
 
 from comfreywind.control.control_view import ControlView
 from comfreywind.control.health_watch import HealthWatch
@@ -8,10 +8,11 @@
 
 
 class QuietWatch:
-    """Knows whether a pool is as it was when it was last decided that nothing is to do.
+    """Detects that a pool is unchanged since a decision found nothing to do.
 
-    A decision about a pool of 127 VMs took 1.4 ms, which for several pools every second is more
-    than control may cost an entry. New rules and the next due VM are seen after `quiet_s`.
+    Deciding on a pool of 127 VMs takes 1.4 ms, which is too expensive for an entry that controls
+    several pools every second. New rules and VMs that become due for maintenance change no row, so
+    a decision is skipped for at most `quiet_s`.
     """
 
     def __init__(self, pool: str, view: ControlView, health: HealthWatch, quiet_s: float) -> None:
@@ -24,18 +25,21 @@
         self._decided_s = float('-inf')
 
     def is_quiet(self, now_s: float) -> bool:
-        """Return whether a decision at this monotonic time can be left out."""
+        """Return whether the decision at this monotonic time can be skipped."""
         if now_s - self._decided_s >= self._quiet_s or self._quiet_vms is None:
             return False
         vms = self._view.list_pool(self._pool)
         failing = self._health.list_failing()
         return vms is self._quiet_vms and not any(vm.name in failing for vm in vms)
 
-    def note(self, plan: PoolPlan, spare: bool, now_s: float) -> None:
-        """Note a decision from the present view; spare pools have to see requests at once."""
+    def record_decision(self, plan: PoolPlan, spare: bool, now_s: float) -> None:
+        """Record a decision that was made from the current view.
+
+        A spare pool is never quiet, because it must handle requests of other pools at once.
+        """
         self._decided_s = now_s
         idle = plan.wave.state in {WaveState.IDLE, WaveState.OFF}
-        settled = all(vm.state == VmState.ACTIVE and not vm.borrowed for vm in plan.vms)
+        all_at_home = all(vm.state == VmState.ACTIVE and not vm.borrowed for vm in plan.vms)
         nothing_decided = not plan.changes and not plan.wanted
-        quiet = idle and settled and nothing_decided
+        quiet = idle and all_at_home and nothing_decided
         self._quiet_vms = self._view.list_pool(self._pool) if quiet and not spare else None
--- a/comfreywind/control/snapshot_maker.py
+++ b/comfreywind/control/snapshot_maker.py
@@ -1,4 +1,4 @@
-"""Makes the snapshots that decisions about pools are made from."""
+"""Makes the snapshots on which decisions about pools are based."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 
 def make_policy(pool: PoolRules, timings: Timings) -> PoolPolicy:
-    """Return the policy of the pool."""
+    """Return the policy of the pool, from its rules and the timings in the settings."""
     return PoolPolicy(
         minimum_available_ratio=pool.minimum_available_ratio,
         tolerate=pool.tolerate,
@@ -39,7 +39,7 @@
     now_s: float,
     timings: Timings,
 ) -> PoolSnapshot:
-    """Return the snapshot of the pool."""
+    """Return the snapshot of the pool at Unix time `now_s`."""
     return PoolSnapshot(
         name=pool.name,
         now_s=now_s,
@@ -52,8 +52,8 @@
     )
 
 
-def read_asked(view: ControlView, pool: str) -> dict[str, int]:
-    """Return how many VMs of which spare pools the pool has asked for."""
+def read_requested_counts(view: ControlView, pool: str) -> dict[str, int]:
+    """Return how many VMs the pool has requested from each spare pool."""
     wanted = view.read_fields(TABLE_BUDGETS, pool).get('wanted', {})
     return {name: int(count) for name, count in wanted.items()}
 
@@ -69,20 +69,22 @@
 
 
 def _list_requests(pool: PoolRules, view: ControlView) -> tuple[SpareRequest, ...]:
-    asking_pools = {
-        seen.row.key: read_asked(view, seen.row.key).get(pool.name, 0)
-        for seen in view.list_rows(TABLE_BUDGETS)
+    requested_by_pool = {
+        received.row.key: read_requested_counts(view, received.row.key).get(pool.name, 0)
+        for received in view.list_rows(TABLE_BUDGETS)
+    }
+    wanted = {
+        name: count for name, count in requested_by_pool.items() if count and name != pool.name
     }
-    wanted = {name: count for name, count in asking_pools.items() if count and name != pool.name}
     if not wanted:
         return ()
     vms = [*view.list_pool(pool.name), *view.list_lent(pool.name)]
     return tuple(
-        SpareRequest(name, count, sum(_is_given(vm, name) for vm in vms))
+        SpareRequest(name, count, sum(_is_assigned(vm, name) for vm in vms))
         for name, count in wanted.items()
     )
 
 
-def _is_given(vm: PoolVm, asking: str) -> bool:
-    stays = vm.pool == asking and vm.move_to is None
-    return stays or vm.move_to == asking
+def _is_assigned(vm: PoolVm, requesting_pool: str) -> bool:
+    stays = vm.pool == requesting_pool and vm.move_to is None
+    return stays or vm.move_to == requesting_pool
--- a/comfreywind/control/vm_row.py
+++ b/comfreywind/control/vm_row.py
@@ -1,4 +1,4 @@
-"""Converts rows of the table `vms`."""
+"""Converts between rows of the table `vms` and `PoolVm`."""
 
 from dataclasses import asdict
 from typing import Any
@@ -33,8 +33,8 @@
     return {**fields, 'state': vm.state.value}
 
 
-def make_first_vm(listed: VmEntry, now_s: float) -> PoolVm:
-    """Return the VM as its first row describes it; its maintenance period starts now."""
+def make_new_vm(listed: VmEntry, now_s: float) -> PoolVm:
+    """Return the VM for its first row; its maintenance period starts now."""
     return PoolVm(
         name=listed.name,
         pool=listed.pool,
--- a/tests/control/__init__.py
+++ b/tests/control/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the control work."""
+"""Tests of pool control."""
--- a/tests/control/test_member_watch.py
+++ b/tests/control/test_member_watch.py
@@ -1,4 +1,4 @@
-"""Which members a drain waits for."""
+"""Tests which members a drain waits for."""
 
 from typing import Any, cast
 
@@ -9,11 +9,11 @@
 from comfreywind.platform.changes import Changes
 from comfreywind.platform.row import Row
 from comfreywind.platform.table_names import TABLE_MEMBERS
-from tests.control.test_racing_controllers import LonelyHub
+from tests.control.test_racing_controllers import HubWithoutPeers
 from tests.helpers.manual_clock import ManualClock
 
 MEMBER_CHANGES = (
-    # what becomes of the row of a member that was never heard of, and whether work may be left
+    # Name, new row of a member that never sent a heartbeat, whether its work may still run.
     ('renewed', {'renewal_number': 2, 'fenced': False}, False),
     ('fenced', {'renewal_number': 1, 'fenced': True}, True),
     ('gone', None, True),
@@ -22,10 +22,13 @@
 
 @pytest.mark.parametrize(('name', 'fields', 'may_run'), MEMBER_CHANGES)
 def test_unheard_member(name: str, fields: dict[str, object] | None, may_run: bool) -> None:
-    """Guards against a stop that cuts off work of a member that was fenced without being heard."""
+    """A member that was fenced before its first heartbeat may still have work running.
+
+    If its loss were not recorded, a planned stop would not wait and would interrupt that work.
+    """
     clock = ManualClock()
     view = ControlView(clock)
-    watch = MemberWatch('a', cast(Any, LonelyHub()), view, dict, clock, excuse_s=1)
+    watch = MemberWatch('a', cast(Any, HubWithoutPeers()), view, dict, clock, silence_limit_s=1)
     started_s = clock.read_monotonic_s()
     rows = (
         Row(TABLE_MEMBERS, 'a', 1, {'renewal_number': 1, 'fenced': False}),
--- a/tests/control/test_probe_rotation.py
+++ b/tests/control/test_probe_rotation.py
@@ -1,4 +1,4 @@
-"""Rotation of probes: bounded in each period, and no VM left out."""
+"""Tests that probes are limited in each period and still reach every VM."""
 
 from comfreywind.control.probe_rotation import ProbeRotation
 from comfreywind.platform.vm_entry import VmEntry
@@ -13,18 +13,21 @@
 
 
 def test_rotation() -> None:
-    """Guards against VMs that are never probed again, and failed ones probed late."""
+    """Every VM is probed again within a few periods, a failed one in the next period.
+
+    A wrong start index would leave VMs out; without priority, a failed VM would wait for its turn.
+    """
     rotation = ProbeRotation(probes_per_period=10)
     all_names = frozenset(VMS)
     rotation.record(VMS, rotation.choose(VMS), all_names)
-    seen: set[str] = set()
+    probed_names: set[str] = set()
     for _ in range(3):
         probed = rotation.choose(VMS)
         assert len(probed) == 10
         names = frozenset(vm.name for vm in probed)
-        seen |= names
+        probed_names |= names
         assert rotation.record(VMS, probed, names) == all_names
-    assert seen == all_names
+    assert probed_names == all_names
     probed = rotation.choose(VMS)
     failed = probed[0].name
     accepting = frozenset(vm.name for vm in probed) - {failed}
--- a/tests/control/test_racing_controllers.py
+++ b/tests/control/test_racing_controllers.py
@@ -1,4 +1,4 @@
-"""The controllers of several entries on one store, with lost replies and old views."""
+"""Tests controllers of several entries on one store, with lost replies and outdated views."""
 
 import random
 from dataclasses import replace
@@ -8,7 +8,7 @@
 
 from comfreywind.bundle.models import PoolModel
 from comfreywind.bundle.rules import PoolRules, Rules
-from comfreywind.control.control_parts import ControlParts
+from comfreywind.control.control_parts import ControlComponents
 from comfreywind.control.control_view import CONTROL_TABLES, ControlView
 from comfreywind.control.drain_watch import DrainWatch
 from comfreywind.control.health_watch import HealthWatch
@@ -30,8 +30,8 @@
 STEPS_COUNT = 600
 
 
-class LonelyHub:
-    """A hub without peers, so that each entry believes that it alone should hold every pool."""
+class HubWithoutPeers:
+    """A hub without peers, so each entry considers itself the preferred holder of every pool."""
 
     def list_alive(self) -> tuple[PeerIdentity, ...]:
         """Return no peer."""
@@ -47,15 +47,15 @@
 
 
 class Entry:
-    """The control work of one entry, with a view that is as old as the test wants."""
+    """The pool control of one entry; the test decides when its view is updated."""
 
     def __init__(self, name: str, platform: FakePlatform, clock: ManualClock) -> None:
         """Start without rows."""
         self.view = ControlView(clock)
-        hub = cast(Any, LonelyHub())
-        members = MemberWatch(name, hub, self.view, dict, clock, excuse_s=1)
+        hub = cast(Any, HubWithoutPeers())
+        members = MemberWatch(name, hub, self.view, dict, clock, silence_limit_s=1)
         self._platform = platform
-        self.parts = ControlParts(
+        self.components = ControlComponents(
             name=name,
             incarnation=1,
             tables=cast(Any, platform),
@@ -68,28 +68,28 @@
             clock=clock,
             timings=TIMINGS,
         )
-        self.controllers = {pool: PoolController(pool, self.parts) for pool in POOLS}
+        self.controllers = {pool: PoolController(pool, self.components) for pool in POOLS}
 
     def read_feed(self) -> None:
-        """Bring the view up to date."""
+        """Update the view from the change feed."""
         self.view.apply_changes(self._platform.read_now(self.view.sequence, CONTROL_TABLES))
 
     def observe(self, failed: set[str]) -> None:
-        """Observe all VMs but the failed ones as working."""
+        """Record all VMs except the failed ones as working."""
         vms = self._platform.vms
         rows = {seen.row.key: seen.row.value or {} for seen in self.view.list_rows('vms')}
         incarnations = {name: int(row['incarnation']) for name, row in rows.items()}
-        self.parts.health.observe(incarnations, vms, set(vms) - failed)
+        self.components.health.observe(incarnations, vms, set(vms) - failed)
 
-    async def work(self, rules: Rules) -> None:
-        """Do one step for each pool."""
+    async def run_cycle(self, rules: Rules) -> None:
+        """Run one control cycle for each pool."""
         for pool, controller in self.controllers.items():
             listed = [vm for vm in self._platform.vms.values() if vm.pool == pool]
             await controller.tick(rules, listed)
 
 
 def make_rules() -> Rules:
-    """Return rules with quick maintenance."""
+    """Return rules with a short maintenance period."""
     common = {'max_run_s': 1, 'maintenance_period_s': 60, 'maintenance_lead_s': 0}
     pools = {
         name: PoolRules(name, **dict(PoolModel.model_validate({**common, **fields})))
@@ -99,7 +99,7 @@
 
 
 def make_vms() -> list[VmEntry]:
-    """Return 6 VMs in 2 racks and 2 spare ones."""
+    """Return 6 VMs in 2 racks and 2 spare VMs."""
     return [
         VmEntry(
             name=f'{pool}-{index}',
@@ -116,7 +116,7 @@
 
 
 def count_available(platform: FakePlatform, failed: set[str]) -> int:
-    """Return the VMs of the pool that truly work and are active."""
+    """Return the number of active VMs of pool `crossings` that have not failed."""
     rows = platform.read_now(0, ['vms']).rows
     return sum(
         (row.value or {})['state'] == 'active'
@@ -128,38 +128,46 @@
 
 @pytest.mark.parametrize('seed', range(12))
 async def test_racing_holders(seed: int) -> None:
-    """Guards against stops beyond the budget by holders that race, pause and lose replies."""
-    chance = random.Random(seed)
+    """Holders that race, pause and lose replies never stop more VMs than the budget allows.
+
+    Two entries that both consider themselves holder could each stop as many VMs as allowed.
+    """
+    rng = random.Random(seed)
     clock = ManualClock()
-    platform = FakePlatform(make_vms(), chance, fault_ratio=0.1)
+    platform = FakePlatform(make_vms(), rng, fault_ratio=0.1)
     entries = [Entry(name, platform, clock) for name in ('a', 'b', 'c')]
     rules = make_rules()
     lowest_available = len(platform.vms)
     for step in range(STEPS_COUNT):
-        clock.advance(chance.choice((0.2, 0.5, 1)))
-        entry = chance.choice(entries)
-        # An entry that doesn't read the feed acts as a holder that was paused.
-        if chance.random() < 0.7:
+        clock.advance(rng.choice((0.2, 0.5, 1)))
+        entry = rng.choice(entries)
+        # An entry that skips a read of the feed acts on old rows, as after a pause.
+        if rng.random() < 0.7:
             entry.read_feed()
         entry.observe(set())
-        await entry.work(rules)
+        await entry.run_cycle(rules)
         if step > 50:
             lowest_available = min(lowest_available, count_available(platform, set()))
     assert lowest_available >= 3
     assert platform.early_reboots == []
     assert min(vm.incarnation for vm in platform.vms.values()) >= 2
     holders = {
-        entry.parts.name for entry in entries if entry.parts.decisions.find('pool/crossings')
+        entry.components.name
+        for entry in entries
+        if entry.components.decisions.find('pool/crossings')
     }
-    assert len(holders) > 1, 'the entries did not race'
+    assert len(holders) > 1, 'fewer than 2 entries made decisions about the pool'
 
 
 @pytest.mark.parametrize('seed', range(6))
 async def test_spares_move_once(seed: int) -> None:
-    """Guards against more moves than a failure needs, and a borrowed VM that never returns."""
-    chance = random.Random(seed)
+    """A failure moves only as many spare VMs as needed, and they return after the recovery.
+
+    A repeated request or a lost reply could move a second VM or leave a borrowed one behind.
+    """
+    rng = random.Random(seed)
     clock = ManualClock()
-    platform = FakePlatform(make_vms(), chance, fault_ratio=0.1)
+    platform = FakePlatform(make_vms(), rng, fault_ratio=0.1)
     entries = [Entry(name, platform, clock) for name in ('a', 'b')]
     rules = make_rules()
     pools = {
@@ -178,7 +186,7 @@
         for entry in entries:
             entry.read_feed()
             entry.observe(failed)
-            await entry.work(rules)
+            await entry.run_cycle(rules)
         moves |= {
             (row.key, row.value['pool'], row.value['pool_since_s'])
             for row in platform.read_now(0, ['vms']).rows
@@ -186,14 +194,17 @@
         }
         if step == 299:
             assert count_available(platform, failed) == 3
-    # One spare VM is enough: first row, move in and move back of one, first row of the other.
+    # One spare VM is enough. It has 3 rows (first, moved in, moved back), the other one its first.
     assert len(moves) == 4
     assert {pool for _, pool, _ in moves} == {'crossings', 'reserve'}
     assert count_available(platform, set()) == 6
 
 
 async def test_removed_pool_returns_spares() -> None:
-    """Guards against spare VMs that are lost to a pool which the bundle no longer names."""
+    """A pool that was removed from the bundle returns its borrowed VMs.
+
+    Without a controller for the removed pool, the spare VMs would stay there for good.
+    """
     clock = ManualClock()
     platform = FakePlatform(make_vms(), random.Random(0), fault_ratio=0)
     entry = Entry('a', platform, clock)
@@ -205,7 +216,7 @@
         removed = {name: pool for name, pool in pools.items() if step < 200 or pool.spare}
         entry.read_feed()
         entry.observe(failed)
-        await entry.work(replace(rules, pools=removed))
+        await entry.run_cycle(replace(rules, pools=removed))
         if step == 199:
             assert count_available(platform, failed) == 3
     assert count_available(platform, failed) == 2
