--- a/comfreywind/control/member_watch.py
+++ b/comfreywind/control/member_watch.py
@@ -85,8 +85,8 @@
         return [name for name in named if name != self._own_name]
 
     def _is_excused(self, name: str, states: Mapping[str, PeerState]) -> bool:
-        heard_s = states[name].heard_s if name in states else self._started_s
-        silent_s = self._clock.read_monotonic_s() - max(heard_s, self._started_s)
+        last_heartbeat_s = states[name].last_heartbeat_s if name in states else self._started_s
+        silent_s = self._clock.read_monotonic_s() - max(last_heartbeat_s, self._started_s)
         return silent_s > self._excuse_s
 
 
--- a/comfreywind/entry/member_status.py
+++ b/comfreywind/entry/member_status.py
@@ -34,5 +34,5 @@
             'incarnation': state.identity.incarnation,
             'bundle_version': state.heartbeat.bundle_version,
             'fresh': state.heartbeat.fresh,
-            'heard_s_ago': round(self._clock.read_monotonic_s() - state.heard_s, 3),
+            'heard_s_ago': round(self._clock.read_monotonic_s() - state.last_heartbeat_s, 3),
         }
--- a/comfreywind/entry/propagation.py
+++ b/comfreywind/entry/propagation.py
@@ -160,7 +160,7 @@
         reports = [
             PeerReport(
                 state.identity.name,
-                state.asked_s - state.heartbeat.attempt_age_s,
+                state.echoed_sent_s - state.heartbeat.attempt_age_s,
                 _make_summary(state.heartbeat),
             )
             for state in self._hub.list_states()
--- a/comfreywind/peers/__init__.py
+++ b/comfreywind/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Streams between entry processes."""
+"""Message streams between entry processes."""
--- a/comfreywind/peers/frame_reader.py
+++ b/comfreywind/peers/frame_reader.py
@@ -1,4 +1,4 @@
-"""Reads length-bounded frames from a stream."""
+"""Reads length-prefixed frames from a stream."""
 
 import struct
 
@@ -8,14 +8,14 @@
 
 FRAME_LIMIT_BYTES = 1_048_576
 FRAME_HEADER = struct.Struct('>I')
-RECEIVE_BYTES = 65_536
+RECEIVE_CHUNK_BYTES = 65_536
 
 
 class FrameReader:
-    """Cuts a stream into frames; holds at most one frame and one read of bytes."""
+    """Splits a stream into frames; buffers at most one frame and one read."""
 
     def __init__(self, stream: trio.abc.ReceiveStream) -> None:
-        """Read from the stream, which its caller closes."""
+        """Wrap the stream; the caller closes it."""
         self._stream = stream
         self._buffer = bytearray()
 
@@ -24,22 +24,22 @@
 
         Raises PeerError for a frame above the limit and for a stream that ends within a frame.
         """
-        if not await self._fill(FRAME_HEADER.size):
+        if not await self._fill_buffer(FRAME_HEADER.size):
             return None
         length_bytes = int.from_bytes(self._buffer[: FRAME_HEADER.size], 'big')
         if length_bytes > limit_bytes:
             raise PeerError(f'a frame of {length_bytes} bytes is above {limit_bytes} bytes')
         end = FRAME_HEADER.size + length_bytes
-        if not await self._fill(end):
+        if not await self._fill_buffer(end):
             raise PeerError('the stream ended within a frame')
         frame = bytes(self._buffer[FRAME_HEADER.size : end])
         del self._buffer[:end]
         return frame
 
-    async def _fill(self, size_bytes: int) -> bool:
-        """Read until the buffer has the size; return False when the stream ended before."""
+    async def _fill_buffer(self, size_bytes: int) -> bool:
+        """Read until the buffer holds `size_bytes`; return False if the stream ends first."""
         while len(self._buffer) < size_bytes:
-            chunk = await self._stream.receive_some(RECEIVE_BYTES)
+            chunk = await self._stream.receive_some(RECEIVE_CHUNK_BYTES)
             if not chunk:
                 return False
             self._buffer += chunk
--- a/comfreywind/peers/incoming_stream.py
+++ b/comfreywind/peers/incoming_stream.py
@@ -1,4 +1,4 @@
-"""A stream that a peer has opened."""
+"""Reads a stream that a peer has opened."""
 
 import logging
 from typing import Protocol
@@ -20,7 +20,7 @@
 
 
 class StreamReceiver(Protocol):
-    """Takes what arrives on incoming streams."""
+    """Handles the messages of incoming streams."""
 
     def accept_hello(
         self, hello: Hello, remote_host: str, stream_scope: trio.CancelScope
@@ -28,11 +28,11 @@
         """Return the identity of the peer; raise PeerError to refuse the stream."""
 
     def deliver(self, sender: PeerIdentity, message: PeerMessage) -> None:
-        """Take a message that came after the `Hello`."""
+        """Handle a message received after the `Hello`."""
 
 
 class IncomingStream:
-    """Reads messages until the stream ends, breaks a rule or stays silent."""
+    """Reads messages until the stream ends, violates the protocol or sends no heartbeat in time."""
 
     def __init__(
         self,
@@ -41,31 +41,34 @@
         receiver: StreamReceiver,
         silent_s: float,
     ) -> None:
-        """Take over the stream; `run` closes it."""
+        """Take ownership of the stream; `run` closes it."""
         self._stream = stream
         self._reader = FrameReader(stream)
         self._codec = codec
         self._receiver = receiver
         self._silent_s = silent_s
-        self._remote = stream.socket.getpeername()
+        self._remote_address = stream.socket.getpeername()
 
     async def run(self) -> None:
-        """Read until the end; log the reason when the stream had to be closed."""
+        """Read until the stream ends or fails; log the reason of a failure."""
         async with self._stream:
             try:
-                await self._read_until_silent()
+                await self._read_until_timeout()
             except PeerError as error:
-                log.error('closed the stream from %s:%d: %s', *self._remote[:2], error)
+                log.error('closed the stream from %s:%d: %s', *self._remote_address[:2], error)
             except STREAM_ERRORS as error:
-                log.info('the stream from %s:%d broke: %s', *self._remote[:2], error)
+                log.info('lost the stream from %s:%d: %s', *self._remote_address[:2], error)
 
-    async def _read_until_silent(self) -> None:
+    async def _read_until_timeout(self) -> None:
         with trio.move_on_after(self._silent_s) as scope:
             sender = await self._read_hello(scope)
             if sender is not None:
                 await self._read_messages(sender, scope)
         if scope.cancelled_caught:
-            log.info('closed the stream from %s:%d: silent or replaced', *self._remote[:2])
+            log.info(
+                'closed the stream from %s:%d: no heartbeat in time, or replaced by a newer stream',
+                *self._remote_address[:2],
+            )
 
     async def _read_hello(self, scope: trio.CancelScope) -> PeerIdentity | None:
         frame = await self._reader.read_frame(HELLO_LIMIT_BYTES)
@@ -74,7 +77,7 @@
         hello = self._codec.decode(frame)
         if not isinstance(hello, Hello):
             raise PeerError(f'the first message is a {type(hello).__name__}, not a Hello')
-        return self._receiver.accept_hello(hello, self._remote[0], scope)
+        return self._receiver.accept_hello(hello, self._remote_address[0], scope)
 
     async def _read_messages(self, sender: PeerIdentity, scope: trio.CancelScope) -> None:
         while True:
@@ -93,4 +96,4 @@
             raise
         except ComfreywindError as error:
             name = type(message).__name__
-            log.error('a %s from %s was not applied: %s', name, sender.name, error)
+            log.error('failed to handle a %s message from %s: %s', name, sender.name, error)
--- a/comfreywind/peers/message_codec.py
+++ b/comfreywind/peers/message_codec.py
@@ -1,4 +1,4 @@
-"""Messages as msgpack, validated when they arrive."""
+"""Encodes messages as msgpack and validates them when decoding."""
 
 from dataclasses import fields
 from typing import Any
@@ -11,32 +11,32 @@
 from comfreywind.peers.peer_message import PeerMessage
 
 TYPE_FIELD = 'type'
-# One byte of msgpack can stand for an empty map of 64 bytes in memory, so maps and arrays are
-# counted to keep the memory that a frame costs near its length.
-CONTAINERS_LIMIT = 20_000
-ARRAY_LIMIT = 65_536
+# An empty map takes one byte in msgpack but 64 bytes in memory, so the number of maps and arrays is
+# limited to keep the memory of a decoded frame near its length.
+CONTAINER_COUNT_LIMIT = 20_000
+CONTAINER_LENGTH_LIMIT = 65_536
 DECODE_ERRORS = (ValueError, TypeError, msgpack.exceptions.UnpackException, UnicodeDecodeError)
 
 
 class MessageCodec:
-    """Encodes and decodes the message types that were added to it."""
+    """Encodes messages and decodes those of the registered types."""
 
     def __init__(self) -> None:
-        """Start without message types."""
+        """Create a codec without registered types."""
         self._types: dict[str, type[PeerMessage]] = {}
         self._models: dict[str, type[BaseModel]] = {}
         self._field_names: dict[type[PeerMessage], tuple[str, ...]] = {}
 
     def add_type(self, message_type: type[PeerMessage]) -> None:
-        """Let messages of the type be decoded; adding it again changes nothing."""
+        """Register a message type for decoding; registering it again has no effect."""
         name = message_type.__name__
         if name not in self._types:
             self._types[name] = message_type
-            self._models[name] = _make_model(message_type)
+            self._models[name] = _create_validation_model(message_type)
 
     def encode(self, message: PeerMessage) -> bytes:
-        """Return the frame of a message; raise PeerError when it is above the frame limit."""
-        names = self._list_fields(type(message))
+        """Return the message as a frame; raise PeerError if its payload exceeds the frame limit."""
+        names = self._get_field_names(type(message))
         document: dict[str, Any] = {name: getattr(message, name) for name in names}
         document[TYPE_FIELD] = type(message).__name__
         payload: bytes = msgpack.packb(document)
@@ -45,10 +45,10 @@
         return FRAME_HEADER.pack(len(payload)) + payload
 
     def decode(self, payload: bytes) -> PeerMessage:
-        """Return the message in a frame; raise PeerError for anything else."""
+        """Return the message in the payload of a frame; raise PeerError if it is not valid."""
         document = _unpack(payload)
         if not isinstance(document, dict):
-            raise PeerError('a frame holds no map')
+            raise PeerError('the payload of a frame is not a msgpack map')
         name = document.pop(TYPE_FIELD, None)
         message_type = self._types.get(name) if isinstance(name, str) else None
         if message_type is None:
@@ -56,10 +56,10 @@
         try:
             model = self._models[message_type.__name__].model_validate(document)
         except ValidationError as error:
-            raise PeerError(f'a malformed {name}: {_describe(error)}') from error
-        return message_type(*(getattr(model, name) for name in self._list_fields(message_type)))
+            raise PeerError(f'a malformed {name}: {_format_first_error(error)}') from error
+        return message_type(*(getattr(model, name) for name in self._get_field_names(message_type)))
 
-    def _list_fields(self, message_type: type[PeerMessage]) -> tuple[str, ...]:
+    def _get_field_names(self, message_type: type[PeerMessage]) -> tuple[str, ...]:
         names = self._field_names.get(message_type)
         if names is None:
             names = tuple(field.name for field in fields(message_type))
@@ -68,42 +68,42 @@
 
 
 def _unpack(payload: bytes) -> Any:
-    count_container = _ContainerCounter()
+    container_counter = _ContainerCounter()
     try:
         return msgpack.unpackb(
             payload,
             use_list=False,
-            max_array_len=ARRAY_LIMIT,
-            max_map_len=ARRAY_LIMIT,
+            max_array_len=CONTAINER_LENGTH_LIMIT,
+            max_map_len=CONTAINER_LENGTH_LIMIT,
             max_ext_len=0,
-            object_hook=count_container,
-            list_hook=count_container,
+            object_hook=container_counter,
+            list_hook=container_counter,
         )
     except DECODE_ERRORS as error:
         raise PeerError(f'a frame is no msgpack document: {error!r:.200}') from error
 
 
 class _ContainerCounter:
-    """Passes values through and raises ValueError when there are too many."""
+    """Counts decoded maps and arrays and raises ValueError above the limit."""
 
     def __init__(self) -> None:
         self._count = 0
 
     def __call__(self, container: Any) -> Any:
-        """Count one map or array."""
+        """Count one map or array and return it unchanged."""
         self._count += 1
-        if self._count > CONTAINERS_LIMIT:
-            raise ValueError(f'more than {CONTAINERS_LIMIT} maps and arrays')
+        if self._count > CONTAINER_COUNT_LIMIT:
+            raise ValueError(f'more than {CONTAINER_COUNT_LIMIT} maps and arrays')
         return container
 
 
-def _make_model(message_type: type[PeerMessage]) -> type[BaseModel]:
+def _create_validation_model(message_type: type[PeerMessage]) -> type[BaseModel]:
     model_fields: dict[str, Any] = {field.name: (field.type, ...) for field in fields(message_type)}
     model_config = ConfigDict(extra='forbid', strict=True)
     return create_model(message_type.__name__, __config__=model_config, **model_fields)
 
 
-def _describe(error: ValidationError) -> str:
+def _format_first_error(error: ValidationError) -> str:
     first = error.errors(include_input=False, include_url=False)[0]
     path = '.'.join(str(part) for part in first['loc'])
     return f'{path}: {first["msg"]}'
--- a/comfreywind/peers/messages/bundle_offer.py
+++ b/comfreywind/peers/messages/bundle_offer.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleOffer(PeerMessage):
-    """An accepted version with the bundle as JSON text."""
+    """An accepted bundle version with its digest and its content as JSON text."""
 
     version: int
     digest: str
--- a/comfreywind/peers/messages/claim_query.py
+++ b/comfreywind/peers/messages/claim_query.py
@@ -1,4 +1,4 @@
-"""Asks the entry that holds a claim how its request has ended."""
+"""Asks the entry that holds a claim for the outcome of its request."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimQuery(PeerMessage):
-    """A question about one claim; `query_id` comes back in the reply."""
+    """Query about one claim; the reply repeats `query_id`."""
 
     query_id: str
     claim_id: str
--- a/comfreywind/peers/messages/claim_reply.py
+++ b/comfreywind/peers/messages/claim_reply.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimReply(PeerMessage):
-    """The outcome of the claim's request, or empty text while it runs or is not known here."""
+    """The outcome of the claim's request; empty while it runs or if the sender does not know it."""
 
     query_id: str
     outcome: str
--- a/comfreywind/peers/messages/explain_query.py
+++ b/comfreywind/peers/messages/explain_query.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplainQuery(PeerMessage):
-    """Asks for the decisions in memory about a subject such as `vm/crossings-1`."""
+    """Asks for the decisions that the peer holds in memory about a subject like `vm/crossings-1`."""
 
     query_id: str
     subject: str
--- a/comfreywind/peers/messages/explain_reply.py
+++ b/comfreywind/peers/messages/explain_reply.py
@@ -1,4 +1,4 @@
-"""Answers a query for decisions."""
+"""Answers an `ExplainQuery`."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplainReply(PeerMessage):
-    """The newest decisions about the subject, as documents, oldest first."""
+    """The newest decisions about the subject as JSON documents, oldest first."""
 
     query_id: str
     records: tuple[dict[str, Any], ...] = ()
--- a/comfreywind/peers/messages/heartbeat.py
+++ b/comfreywind/peers/messages/heartbeat.py
@@ -1,4 +1,4 @@
-"""Periodic report of an entry to each of its peers."""
+"""Periodic state report of an entry to each of its peers."""
 
 from dataclasses import dataclass, field
 
@@ -15,7 +15,7 @@
     `bundle_version` is 0 without rules; `accepted_version` is higher while the content of an
     accepted version is missing. `store_age_s` is the age of the last read of the store,
     `attempt_age_s` that of the last finished attempt to read it, failed or not; both are infinite
-    before the first one. The load maps hold values other than zero only.
+    before the first one. The load maps omit zeros.
     """
 
     sent_s: float
--- a/comfreywind/peers/messages/load_report.py
+++ b/comfreywind/peers/messages/load_report.py
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport(PeerMessage):
-    """What runs and waits at the sender.
+    """Running and waiting requests of the sender.
 
     `loads` maps pool and team to the fields of `TeamLoad` in their order; `outstanding` maps a target
-    to the sender's requests there. Both leave out what is zero.
+    to the sender's requests there. Both omit zeros.
     """
 
     loads: dict[str, dict[str, tuple[int, ...]]]
--- a/comfreywind/peers/messages/promise_grant.py
+++ b/comfreywind/peers/messages/promise_grant.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseGrant(PeerMessage):
-    """The promise, which the requester counts from when it sent the request of that number."""
+    """The promise; its term starts when the requester sent the request with this number."""
 
     holder: str
     request_number: int
--- a/comfreywind/peers/messages/units_transfer.py
+++ b/comfreywind/peers/messages/units_transfer.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnitsTransfer(PeerMessage):
-    """All units that `giver` has ever given to `receiver`; a repeated message adds nothing.
+    """Running total of units that `giver` has given to `receiver`, so that repeats are idempotent.
 
     `idle_units` is what the giver has left to give. An unchanged total refuses a request.
     """
--- a/comfreywind/peers/messages/view_request.py
+++ b/comfreywind/peers/messages/view_request.py
@@ -9,8 +9,8 @@
 class ViewRequest(PeerMessage):
     """Asks for the parts of the peer's view that differ from the sender's.
 
-    The answer is a `BundleOffer` for a higher version and `KeyList` and `VmRowList` for other
-    digests, and a `VmList` if it is wanted.
+    The peer answers with a `BundleOffer` if its version is higher, with `KeyList` and `VmRowList`
+    where digests differ, and with a `VmList` if `wants_vm_list` is set.
     """
 
     bundle_version: int
--- a/comfreywind/peers/outbox.py
+++ b/comfreywind/peers/outbox.py
@@ -1,4 +1,4 @@
-"""Frames that wait to be sent to one peer."""
+"""Send queue of frames for one peer."""
 
 import trio
 
@@ -8,17 +8,17 @@
 
 
 class Outbox:
-    """A queue of frames bounded in bytes, so that a frozen peer can't make memory grow."""
+    """A queue of frames bounded in bytes, so that a peer that stops reading can't exhaust memory."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._frames: list[bytes] = []
         self._size_bytes = 0
-        self._filled = trio.Event()
+        self._has_frames = trio.Event()
 
     @property
     def is_empty(self) -> bool:
-        """Return whether no frame waits."""
+        """Return whether no frame is queued."""
         return not self._frames
 
     def put(self, frame: bytes) -> bool:
@@ -27,18 +27,18 @@
             return False
         self._frames.append(frame)
         self._size_bytes += len(frame)
-        self._filled.set()
+        self._has_frames.set()
         return True
 
     def clear(self) -> None:
         """Drop all frames."""
         self._frames.clear()
         self._size_bytes = 0
-        self._filled = trio.Event()
+        self._has_frames = trio.Event()
 
-    async def take_all(self) -> bytes:
-        """Wait for frames and return all of them in one piece."""
-        await self._filled.wait()
+    async def drain(self) -> bytes:
+        """Wait until frames are queued, then remove and return all of them, concatenated."""
+        await self._has_frames.wait()
         joined = b''.join(self._frames)
         self.clear()
         return joined
--- a/comfreywind/peers/peer_hub.py
+++ b/comfreywind/peers/peer_hub.py
@@ -1,4 +1,4 @@
-"""What the parts of an entry use to talk to other entries."""
+"""Messaging interface between the components of an entry and other entries."""
 
 from collections.abc import Callable, Mapping
 from typing import Protocol, TypeVar
@@ -22,7 +22,7 @@
         """Queue a message for a peer and return False when it was dropped."""
 
     def broadcast(self, message: PeerMessage, excluded: str = '') -> None:
-        """Queue a message for every peer with a stream but the one of the excluded name."""
+        """Queue a message for every peer with a stream except the one named `excluded`."""
 
     def subscribe(
         self,
@@ -32,19 +32,22 @@
         """Call the function for each received message of the type."""
 
     def list_alive(self) -> tuple[PeerIdentity, ...]:
-        """Return the peers whose last heartbeat is recent."""
+        """Return the peers whose last heartbeat is within the silence limit."""
 
     def list_states(self) -> tuple[PeerState, ...]:
-        """Return what is known about each peer that has introduced itself."""
+        """Return the state of each peer that has sent a `Hello`."""
 
     def list_members(self) -> Mapping[str, Address]:
-        """Return name and peer address of the other members, alive or not."""
+        """Return the peer address of each other member by name, alive or not."""
 
     def set_members(self, members: Mapping[str, Address]) -> None:
-        """Take the members named by the table `members` and connect to the new ones."""
+        """Replace the members by those of the table `members` and connect to the new ones."""
 
     def send_heartbeats(self) -> None:
-        """Report to all peers now, because something that they wait for has changed."""
+        """Send a heartbeat to all peers now, without waiting for the interval.
+
+        Used when a value that peers wait for has changed.
+        """
 
     def count_sent_bytes(self) -> int:
-        """Return the bytes sent to the peers, without those of TCP and IP."""
+        """Return the bytes sent to the peers, without TCP and IP headers."""
--- a/comfreywind/peers/peer_link.py
+++ b/comfreywind/peers/peer_link.py
@@ -11,10 +11,10 @@
 from comfreywind.peers.stream_limits import StreamLimits
 from comfreywind.settings.address import Address
 
-FIRST_BACKOFF_S = 0.05
-# Below the limit of 1.5 s for a silent stream, so that a peer which comes back is not seen as
-# silent because of the wait.
-HIGHEST_BACKOFF_S = 1.0
+INITIAL_BACKOFF_S = 0.05
+# Below the default silence limit of 1.5 s, so that the back-off alone does not make a restarted peer
+# count as silent.
+MAX_BACKOFF_S = 1.0
 STREAM_ERRORS = (OSError, trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError)
 
 log = logging.getLogger('comfreywind.peers')
@@ -23,13 +23,13 @@
 class PeerLink:
     """Keeps one stream to an address open and sends the queued frames over it.
 
-    The stream is closed and reopened when the peer has confirmed nothing for `limits.silent_s`.
+    The stream is closed and reopened when the peer has echoed no heartbeat for `limits.silent_s`.
     """
 
     def __init__(
         self, address: Address, hello_frame: bytes, clock: Clock, limits: StreamLimits
     ) -> None:
-        """Prepare the link; `run` opens the stream."""
+        """Create a closed link; `run` opens the stream."""
         self.address = address
         self._clock = clock
         self.opened_s = float('inf')
@@ -42,55 +42,58 @@
         self._stream_scope: trio.CancelScope | None = None
         self._run_scope = trio.CancelScope()
         self._wake = trio.Event()
-        self._confirmed = False
+        self._echo_received = False
 
     @property
     def is_open(self) -> bool:
-        """Return whether there is a stream."""
+        """Return whether the stream is connected."""
         return self._socket is not None
 
     def put(self, frame: bytes) -> bool:
-        """Queue a frame; return False without a stream or with a full queue."""
+        """Send or queue a frame; return False if there is no stream or the queue is full."""
         if self._socket is None:
             return False
         if self._sending or not self._outbox.is_empty:
             return self._outbox.put(frame)
         return self._send_now(self._socket, frame)
 
-    def confirm(self, echo_s: float) -> None:
-        """Note that the peer has received a heartbeat that was sent at this monotonic time."""
+    def record_echo(self, echo_s: float) -> None:
+        """Extend the deadline of the stream, as the peer echoed a heartbeat sent on it.
+
+        `echo_s` is the monotonic time at which this entry sent that heartbeat.
+        """
         if self._stream_scope is not None and echo_s >= self.opened_s:
-            self._confirmed = True
+            self._echo_received = True
             self._stream_scope.deadline = trio.current_time() + self._limits.silent_s
 
     def wake(self) -> None:
-        """Connect now instead of after the back-off, because the peer is known to be there."""
+        """Skip the rest of the back-off, because the peer is known to be reachable."""
         self._wake.set()
 
     def close(self) -> None:
-        """End the link."""
+        """Stop `run` and close the stream."""
         self._run_scope.cancel()
 
     async def run(self) -> None:
-        """Keep the stream open until `close`."""
+        """Connect, and reconnect with exponential back-off, until `close`."""
         with self._run_scope:
-            backoff_s = FIRST_BACKOFF_S
+            backoff_s = INITIAL_BACKOFF_S
             while True:
-                self._confirmed = False
-                await self._try_stream()
+                self._echo_received = False
+                await self._open_stream()
                 backoff_s = (
-                    FIRST_BACKOFF_S if self._confirmed else min(2 * backoff_s, HIGHEST_BACKOFF_S)
+                    INITIAL_BACKOFF_S if self._echo_received else min(2 * backoff_s, MAX_BACKOFF_S)
                 )
-                await self._wait(backoff_s * random.uniform(0.5, 1))
+                await self._wait_backoff(backoff_s * random.uniform(0.5, 1))
 
-    async def _try_stream(self) -> None:
+    async def _open_stream(self) -> None:
         try:
             stream = await self._connect()
         except STREAM_ERRORS as error:
-            log.debug('no stream to %s: %s', self.address, error)
+            log.debug('failed to connect to peer %s, will retry: %s', self.address, error)
             return
         async with stream:
-            await self._use_stream(stream)
+            await self._run_stream(stream)
 
     async def _connect(self) -> trio.SocketStream:
         family = socket.AF_INET6 if ':' in self.address.host else socket.AF_INET
@@ -105,7 +108,7 @@
         self._socket = new_socket
         return trio.SocketStream(stream_socket)
 
-    async def _use_stream(self, stream: trio.SocketStream) -> None:
+    async def _run_stream(self, stream: trio.SocketStream) -> None:
         self._sending = False
         self._outbox.clear()
         self._outbox.put(self._hello_frame)
@@ -115,9 +118,13 @@
             try:
                 await self._send_until_end(stream)
             except* STREAM_ERRORS as errors:
-                log.info('the stream to %s broke: %s', self.address, errors.exceptions[0])
+                log.info(
+                    'lost the stream to %s, reconnecting: %s', self.address, errors.exceptions[0]
+                )
         if stream_scope.cancelled_caught and not self._run_scope.cancel_called:
-            log.info('the stream to %s was silent and is reopened', self.address)
+            log.info(
+                'closed the stream to %s: no heartbeat echoed in time, reconnecting', self.address
+            )
         self._stream_scope = None
         self._socket = None
         self.opened_s = float('inf')
@@ -125,20 +132,20 @@
     async def _send_until_end(self, stream: trio.SocketStream) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_frames, stream)
-            # The peer sends nothing on this stream; a read ends when the peer closes it.
+            # The peer sends nothing on this stream, so the read returns only when the peer closes it.
             await stream.receive_some(1)
             nursery.cancel_scope.cancel()
 
     async def _send_frames(self, stream: trio.SocketStream) -> None:
         while True:
-            frames = await self._outbox.take_all()
+            frames = await self._outbox.drain()
             self._sending = True
             await stream.send_all(frames)
             self._sending = False
             self.sent_bytes += len(frames)
 
     def _send_now(self, open_socket: socket.socket, frame: bytes) -> bool:
-        """Send without a switch to the task of the link, and queue what the socket doesn't take.
+        """Send without a switch to the task of the link; queue what the socket does not accept.
 
         Most frames are heartbeats, and each task switch costs more than the system call.
         """
@@ -151,7 +158,7 @@
         self.sent_bytes += sent_bytes
         return sent_bytes == len(frame) or self._outbox.put(frame[sent_bytes:])
 
-    async def _wait(self, backoff_s: float) -> None:
+    async def _wait_backoff(self, backoff_s: float) -> None:
         self._wake = trio.Event()
         with trio.move_on_after(backoff_s):
             await self._wake.wait()
--- a/comfreywind/peers/peer_message.py
+++ b/comfreywind/peers/peer_message.py
@@ -5,4 +5,4 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message; its class name is its type on the wire, its fields are plain values."""
+    """A message; its class name is the type on the wire and its fields hold plain values."""
--- a/comfreywind/peers/peer_state.py
+++ b/comfreywind/peers/peer_state.py
@@ -1,4 +1,4 @@
-"""What this entry knows about one peer."""
+"""State of one peer as seen by this entry."""
 
 from dataclasses import dataclass
 
@@ -13,13 +13,13 @@
 class PeerState:
     """Identity, address and last heartbeat; all times are monotonic seconds of this entry.
 
-    `heard_s` is when the last heartbeat arrived. `asked_s` is when this entry sent the newest
-    heartbeat that the peer has echoed, so what the peer reports is newer than that.
+    `last_heartbeat_s` is when the last heartbeat arrived. `echoed_sent_s` is when this entry sent the
+    newest heartbeat that the peer has echoed; what the peer reports is newer than that time.
     """
 
     identity: PeerIdentity
     address: Address
     stream_scope: trio.CancelScope
     heartbeat: Heartbeat | None = None
-    heard_s: float = float('-inf')
-    asked_s: float = float('-inf')
+    last_heartbeat_s: float = float('-inf')
+    echoed_sent_s: float = float('-inf')
--- a/comfreywind/peers/stream_hub.py
+++ b/comfreywind/peers/stream_hub.py
@@ -1,4 +1,4 @@
-"""The hub of all streams between this entry and its peers."""
+"""Manages all streams between this entry and its peers."""
 
 import logging
 from collections import defaultdict
@@ -23,10 +23,10 @@
 from comfreywind.settings.address import Address, parse_address
 
 PROTOCOL_VERSION = 1
-INCOMING_LIMIT = 128
-LEARNED_LIMIT = 64
-# A peer that is named by neither the settings nor the members table is forgotten after this time.
-FORGET_S = 60.0
+INCOMING_STREAM_LIMIT = 128
+NON_MEMBER_LIMIT = 64
+# Silence after which a peer that is in neither the settings nor the members table is removed.
+FORGET_AFTER_S = 60.0
 
 log = logging.getLogger('comfreywind.peers')
 
@@ -35,7 +35,7 @@
     """Implements `PeerHub` over TCP: one outgoing and one incoming stream for each peer.
 
     Peers come from the settings, from `set_members` and from the `Hello` of a peer itself, so that
-    a replaced entry at a new address is answered while the store is down.
+    an entry that restarts at a new address is reachable while the store is down.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         clock: Clock,
         limits: StreamLimits,
     ) -> None:
-        """Prepare the hub; `run` opens the streams."""
+        """Create the hub; `run` opens the streams."""
         self.identity = identity
         self._address = address
         self._clock = clock
@@ -75,7 +75,7 @@
         return link is not None and frame is not None and link.put(frame)
 
     def broadcast(self, message: PeerMessage, excluded: str = '') -> None:
-        """Queue a message for every peer with a stream but the excluded one."""
+        """Queue a message for every peer with a stream except the one named `excluded`."""
         frame = self._encode(message)
         if frame is None:
             return
@@ -94,19 +94,21 @@
         self._handlers[message_type].append(receive_message)
 
     def list_alive(self) -> tuple[PeerIdentity, ...]:
-        """Return the peers whose last heartbeat arrived within the limit for silent streams."""
+        """Return the peers whose last heartbeat is within the silence limit."""
         oldest_s = self._clock.read_monotonic_s() - self._limits.silent_s
-        return tuple(state.identity for state in self._states.values() if state.heard_s >= oldest_s)
+        return tuple(
+            state.identity for state in self._states.values() if state.last_heartbeat_s >= oldest_s
+        )
 
     def list_states(self) -> tuple[PeerState, ...]:
-        """Return what is known about each peer that has introduced itself."""
+        """Return the state of each peer that has sent a `Hello`."""
         return tuple(self._states.values())
 
     def list_members(self) -> Mapping[str, Address]:
-        """Return name and address of the other members.
+        """Return the peer address of each other member by name.
 
-        Before the first `set_members` these are the peers of the settings, by their address when
-        they have not introduced themselves.
+        Before the first `set_members` these are the peers of the settings; one that has not sent a
+        `Hello` is listed with its address as its name.
         """
         if self._members:
             return self._members
@@ -114,7 +116,10 @@
         return {names.get(peer, str(peer)): peer for peer in self._settings_addresses}
 
     def set_members(self, members: Mapping[str, Address]) -> None:
-        """Take the members named by the table `members`; this entry itself may be among them."""
+        """Replace the members by those of the table `members` and link to them.
+
+        This entry is left out if it is among them.
+        """
         self._members = {
             name: address for name, address in members.items() if name != self.identity.name
         }
@@ -122,17 +127,17 @@
             self._add_link(address)
 
     def count_sent_bytes(self) -> int:
-        """Return the bytes sent on the links that exist, without those of TCP and IP."""
+        """Return the bytes sent on the current links, without TCP and IP headers."""
         return sum(link.sent_bytes for link in self._links.values())
 
     def set_heartbeat_source(self, make_heartbeat: Callable[[], Heartbeat]) -> None:
-        """Use the function for the report in heartbeats; the hub fills times and echoes."""
+        """Set the function that makes heartbeats; the hub fills in the send time and the echo."""
         self._make_heartbeat = make_heartbeat
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Accept streams, keep links open and send heartbeats until cancelled.
 
-        Raises ListenError when the peer address can't be listened on.
+        Raises ListenError when the listener can't bind to the peer address.
         """
         listening_socket = open_listening_socket(self._address)
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(listening_socket))
@@ -143,12 +148,12 @@
             nursery.start_soon(trio.serve_listeners, self._serve_stream, [listener])
             task_status.started()
             while True:
-                self._forget_peers()
+                self._remove_silent_peers()
                 self.send_heartbeats()
-                await trio.sleep(self._find_pause_s())
+                await trio.sleep(self._compute_pause_s())
 
     def send_heartbeats(self) -> None:
-        """Report to all peers with a stream."""
+        """Send a heartbeat to all peers with a stream."""
         report = self._make_heartbeat()
         states = {state.address: state for state in self._states.values()}
         for address, link in self._links.items():
@@ -164,7 +169,9 @@
         known = self._states.get(hello.name)
         if known is None or known.identity != identity:
             self._states[hello.name] = PeerState(identity, address, stream_scope)
-            log.info('peer %s at %s, incarnation %d', hello.name, address, hello.incarnation)
+            log.info(
+                'accepted peer %s at %s, incarnation %d', hello.name, address, hello.incarnation
+            )
         else:
             known.address = address
         if known is not None:
@@ -189,16 +196,16 @@
             raise PeerError(f'{hello.name} was replaced by a process of a higher incarnation')
         address = _parse_peer_address(hello)
         if address not in self._links:
-            self._check_unknown_address(address, remote_host)
+            self._check_new_address(address, remote_host)
         return address
 
-    def _check_unknown_address(self, address: Address, remote_host: str) -> None:
+    def _check_new_address(self, address: Address, remote_host: str) -> None:
         if address.host != remote_host or address == self._address:
             raise PeerError(f'the peer address {address} is not that of the stream')
-        if len(self._links) >= len(self._list_named_addresses()) + LEARNED_LIMIT:
-            raise PeerError('too many peers that are no members')
+        if len(self._links) >= len(self._list_configured_addresses()) + NON_MEMBER_LIMIT:
+            raise PeerError('too many peers that are neither members nor in the settings')
 
-    def _list_named_addresses(self) -> frozenset[Address]:
+    def _list_configured_addresses(self) -> frozenset[Address]:
         return self._settings_addresses | frozenset(self._members.values())
 
     def _add_link(self, address: Address) -> None:
@@ -210,8 +217,11 @@
             self._link_nursery.start_soon(link.run)
 
     async def _serve_stream(self, stream: trio.SocketStream) -> None:
-        if self._incoming_count >= INCOMING_LIMIT:
-            log.error('refused a stream: %d are open', self._incoming_count)
+        if self._incoming_count >= INCOMING_STREAM_LIMIT:
+            log.error(
+                'refused an incoming peer stream: the limit of %d streams is reached',
+                self._incoming_count,
+            )
             await stream.aclose()
             return
         self._incoming_count += 1
@@ -220,22 +230,22 @@
         finally:
             self._incoming_count -= 1
 
-    def _find_pause_s(self) -> float:
+    def _compute_pause_s(self) -> float:
         """Return the time until the next heartbeat.
 
-        Entries send at the same phases of the wall clock, so that a process wakes once for the
-        heartbeats of all peers; with 9 entries at rest this takes a third less processor time than
-        phases that differ. Nothing else depends on the phase.
+        All entries send at the same phase of the wall clock, so that a process wakes up once for
+        the heartbeats of all peers. With 9 idle entries this takes a third less processor time than
+        differing phases. Nothing else depends on the phase.
         """
         interval_s = self._limits.heartbeat_interval_s
         return interval_s - self._clock.read_utc().timestamp() % interval_s
 
     def _encode_heartbeat(self, report: Heartbeat, state: PeerState | None) -> bytes:
-        heard = state.heartbeat if state else None
+        received = state.heartbeat if state else None
         heartbeat = replace(
             report,
             sent_s=self._clock.read_monotonic_s(),
-            echo_s=heard.sent_s if heard else None,
+            echo_s=received.sent_s if received else None,
             echo_incarnation=state.identity.incarnation if state else 0,
         )
         return self._codec.encode(heartbeat)
@@ -246,26 +256,26 @@
             return
         now_s = self._clock.read_monotonic_s()
         state.heartbeat = heartbeat
-        state.heard_s = now_s
+        state.last_heartbeat_s = now_s
         echo_s = heartbeat.echo_s
         if echo_s is None or heartbeat.echo_incarnation != self.identity.incarnation:
             return
         if echo_s > now_s:
-            raise PeerError(f'{sender.name} echoes a time that is yet to come')
-        state.asked_s = max(state.asked_s, echo_s)
+            raise PeerError(f'{sender.name} echoes a heartbeat time in the future')
+        state.echoed_sent_s = max(state.echoed_sent_s, echo_s)
         link = self._links.get(state.address)
         if link is not None:
-            link.confirm(echo_s)
+            link.record_echo(echo_s)
 
-    def _forget_peers(self) -> None:
-        """Drop peers that no one names and that have been silent for long."""
-        oldest_s = self._clock.read_monotonic_s() - FORGET_S
-        named_addresses = self._list_named_addresses()
+    def _remove_silent_peers(self) -> None:
+        """Remove silent peers that are in neither the settings nor the members, and unused links."""
+        oldest_s = self._clock.read_monotonic_s() - FORGET_AFTER_S
+        configured_addresses = self._list_configured_addresses()
         for name, state in list(self._states.items()):
-            silent = state.heard_s < oldest_s and state.stream_scope.cancel_called
-            if silent and state.address not in named_addresses:
+            silent = state.last_heartbeat_s < oldest_s and state.stream_scope.cancel_called
+            if silent and state.address not in configured_addresses:
                 del self._states[name]
-        used_addresses = {state.address for state in self._states.values()} | named_addresses
+        used_addresses = {state.address for state in self._states.values()} | configured_addresses
         for address in set(self._links) - used_addresses:
             self._links.pop(address).close()
 
@@ -273,7 +283,7 @@
         try:
             return self._codec.encode(message)
         except PeerError as error:
-            log.error('dropped a message: %s', error)
+            log.error('dropped an outgoing message: %s', error)
             return None
 
 
--- a/comfreywind/peers/stream_limits.py
+++ b/comfreywind/peers/stream_limits.py
@@ -5,7 +5,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamLimits:
-    """Limits in seconds, from docs/design.md section 3.5."""
+    """Limits from docs/design.md section 3.5.
+
+    A stream without a heartbeat or an echo for `silent_s` is closed.
+    """
 
     heartbeat_interval_s: float = 0.25
     silent_s: float = 1.5
--- a/tests/peers/test_message_codec.py
+++ b/tests/peers/test_message_codec.py
@@ -1,11 +1,11 @@
-"""Frames from peers: only well-formed messages of known types are accepted."""
+"""The message codec accepts only well-formed messages of registered types."""
 
 import msgpack
 import pytest
 
 from comfreywind.errors import PeerError
 from comfreywind.peers.frame_reader import FRAME_HEADER, FRAME_LIMIT_BYTES
-from comfreywind.peers.message_codec import CONTAINERS_LIMIT, MessageCodec
+from comfreywind.peers.message_codec import CONTAINER_COUNT_LIMIT, MessageCodec
 from comfreywind.peers.messages.bundle_offer import BundleOffer
 from comfreywind.peers.messages.heartbeat import Heartbeat
 from comfreywind.peers.messages.key_change import KeyChange
@@ -42,7 +42,7 @@
 
 
 def make_codec() -> MessageCodec:
-    """Return a codec that knows the types used here."""
+    """Return a codec with the message types of these tests."""
     codec = MessageCodec()
     for message_type in (KeyChange, KeyList, Heartbeat):
         codec.add_type(message_type)
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize('message', MESSAGES, ids=lambda message: type(message).__name__)
 def test_round_trip(message: KeyChange) -> None:
-    """Guards against a message that changes on its way."""
+    """A message is unchanged after encoding and decoding."""
     frame = make_codec().encode(message)
     assert FRAME_HEADER.unpack_from(frame) == (len(frame) - FRAME_HEADER.size,)
     assert make_codec().decode(frame[FRAME_HEADER.size :]) == message
@@ -59,13 +59,13 @@
 
 @pytest.mark.parametrize(('case', 'payload'), BAD_PAYLOADS)
 def test_bad_payload(case: str, payload: bytes) -> None:
-    """Guards against a crash, or a message taken, because of a frame that is not well formed."""
-    assert len(payload) > CONTAINERS_LIMIT or case != 'many empty maps'
+    """A malformed payload raises PeerError; it is neither accepted nor a crash."""
+    assert len(payload) > CONTAINER_COUNT_LIMIT or case != 'many empty maps'
     with pytest.raises(PeerError):
         make_codec().decode(payload)
 
 
 def test_oversized_message_is_not_encoded() -> None:
-    """Guards against sending a frame that makes every peer close its stream."""
+    """A message above the frame limit is not encoded, as every peer would close its stream."""
     with pytest.raises(PeerError, match='too large'):
         make_codec().encode(BundleOffer(1, '', 'x' * FRAME_LIMIT_BYTES))
--- a/tests/peers/test_stream_hub.py
+++ b/tests/peers/test_stream_hub.py
@@ -1,4 +1,4 @@
-"""The hub over real sockets on loopback."""
+"""Stream hubs over real sockets on loopback."""
 
 import socket
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note(PeerMessage):
-    """A message of these tests."""
+    """A numbered message with padding."""
 
     number: int
     padding: bytes = b''
@@ -51,12 +51,14 @@
 
 
 def is_linked(hub: StreamHub, name: str) -> bool:
-    """Return whether streams in both directions work."""
-    return any(state.identity.name == name and state.asked_s > 0 for state in hub.list_states())
+    """Return whether the peer has echoed a heartbeat, so that both directions work."""
+    return any(
+        state.identity.name == name and state.echoed_sent_s > 0 for state in hub.list_states()
+    )
 
 
 async def test_messages_arrive_in_order(nursery: trio.Nursery) -> None:
-    """Guards against lost or reordered messages, and a peer that does not learn an unknown one."""
+    """Messages arrive complete and in order, also from a peer that is not in the settings."""
     first, second = make_address(), make_address()
     left = make_hub('left', first, second)
     right = make_hub('right', second)
@@ -75,7 +77,7 @@
 
 
 async def test_restarted_peer_is_linked_again(nursery: trio.Nursery) -> None:
-    """Guards against a peer that stays unreachable after its process was replaced."""
+    """A peer is reachable again after its process has been replaced."""
     first, second = make_address(), make_address()
     left = make_hub('left', first, second)
     await nursery.start(left.run)
@@ -91,7 +93,7 @@
 
 
 async def test_silent_peer_blocks_no_one(nursery: trio.Nursery) -> None:
-    """Guards against a frozen peer that makes memory grow or delays messages to others."""
+    """A peer that reads nothing neither delays messages to others nor makes memory grow."""
     frozen, first, second = make_address(), make_address(), make_address()
     with socket.create_server((frozen.host, frozen.port)):
         left = make_hub('left', first, frozen, second)
@@ -108,7 +110,7 @@
 
 
 def test_outbox_is_bounded() -> None:
-    """Guards against frames that pile up for a peer which does not read."""
+    """Frames for a peer that does not read are refused at the limit of the outbox."""
     outbox = Outbox()
     frame = bytes(100_000)
     accepted = [outbox.put(frame) for _ in range(100)]
@@ -116,7 +118,7 @@
 
 
 async def test_address_in_use() -> None:
-    """Guards against a traceback when the peer address is taken."""
+    """A peer address in use raises ListenError instead of a bare OSError."""
     address = make_address()
     with socket.create_server((address.host, address.port)):
         with pytest.raises(ListenError, match='in use'):
@@ -124,7 +126,11 @@
 
 
 async def test_report_counts_from_its_echo(nursery: trio.Nursery) -> None:
-    """Guards against a report that looks new because it waited in a buffer until now."""
+    """The age of a report counts from the echoed send time, not from its arrival.
+
+    A report that was delayed in a buffer would otherwise look recent. Echoes of another incarnation,
+    none, or of a future time do not advance the time.
+    """
     address = make_address()
     hub = make_hub('left', address)
     await nursery.start(hub.run)
@@ -141,12 +147,12 @@
             heartbeat = Heartbeat(float(sent_s), echo_s, incarnation, bundle_version=sent_s)
             await stream.send_all(codec.encode(heartbeat))
             await wait_for(lambda count=sent_s: read_version(hub) == count)
-            seen.append(hub.list_states()[0].asked_s)
+            seen.append(hub.list_states()[0].echoed_sent_s)
     listener.close()
     assert seen == [now_s - 3] * len(echoes)
 
 
 def read_version(hub: StreamHub) -> int:
-    """Return the bundle version that the only peer has reported."""
+    """Return the bundle version in the heartbeat of the only peer, or 0 without one."""
     states = hub.list_states()
     return states[0].heartbeat.bundle_version if states and states[0].heartbeat else 0
--- a/tests/peers/test_view_parts.py
+++ b/tests/peers/test_view_parts.py
@@ -1,4 +1,4 @@
-"""A whole view travels in frames below the limit and arrives unchanged."""
+"""A view is split into frames below the size limit and restored unchanged."""
 
 from dataclasses import replace
 from itertools import chain
@@ -30,7 +30,7 @@
 
 
 def test_view_round_trip() -> None:
-    """Guards against parts lost or altered, and a frame above the limit, in a large view."""
+    """All messages of a large view fit into a frame and restore the same view."""
     rules_view, fleet_view = RulesView(ManualClock(), 4), FleetView()
     for index in range(COUNT):
         rules_view.apply_key(TeamKey(f'{index:012}', 'timetables', '0' * 64, index % 2 == 0, 2))
@@ -57,7 +57,7 @@
 def send_parts(
     request: ViewRequest, rules_view: RulesView, fleet_view: FleetView
 ) -> list[PeerMessage]:
-    """Return the parts of a view as they arrive at the peer that asked."""
+    """Return the messages of a view as the requesting peer decodes them."""
     codec = MessageCodec()
     for message_type in (KeyList, VmRowList, VmList):
         codec.add_type(message_type)
@@ -66,7 +66,7 @@
 
 
 def test_nothing_for_an_equal_view() -> None:
-    """Guards against sending a whole view to a peer that has it."""
+    """Nothing is sent to a peer whose view has the same digests."""
     rules_view, fleet_view = RulesView(ManualClock(), 4), FleetView()
     rules_view.apply_key(TeamKey('a', 'timetables', '0' * 64, withdrawn=False, row_version=1))
     request = ViewRequest(0, rules_view.keys_digest, fleet_view.rows_digest, wants_vm_list=False)
--- a/tests/processes/test_peer_port.py
+++ b/tests/processes/test_peer_port.py
@@ -11,7 +11,7 @@
 
 from bench.fleet import Fleet, wait_until
 from bench.fleet_plan import FleetPlan
-from comfreywind.peers.stream_hub import INCOMING_LIMIT
+from comfreywind.peers.stream_hub import INCOMING_STREAM_LIMIT
 from tests.helpers.versions import make_bundle, wait_in_force
 
 HELLO = {
@@ -103,7 +103,7 @@
 def test_many_large_frames(fleet: Fleet) -> None:
     """Guards against memory that grows with unfinished frames on many streams."""
     before_bytes = read_memory_bytes(fleet)
-    intruders = [connect(fleet) for _ in range(INCOMING_LIMIT + 20)]
+    intruders = [connect(fleet) for _ in range(INCOMING_STREAM_LIMIT + 20)]
     for intruder in intruders:
         intruder.setblocking(False)
         try:
