--- a/comfreywind/bundle/__init__.py
+++ b/comfreywind/bundle/__init__.py
@@ -1,1 +1,1 @@
-"""Rule bundles: border models, validation and the rules used inside."""
+"""Rule bundles: input models, validation and the rules that the program uses."""
--- a/comfreywind/bundle/branch_limit.py
+++ b/comfreywind/bundle/branch_limit.py
@@ -1,4 +1,4 @@
-"""What the central rulebook lets branches change."""
+"""Limits on the fields that branches may override."""
 
 from typing import Annotated
 
@@ -10,16 +10,16 @@
 
 
 class BranchLimit(BundleModel):
-    """A field that branches may change, such as `teams.*.weight`, and its bounds."""
+    """A field that branches may override, such as `teams.*.weight`, and its inclusive bounds."""
 
     path: PathPattern
     minimum: float
     maximum: float
 
     def covers(self, path: str) -> bool:
-        """Return whether the limit holds for the path; `*` stands for any name."""
-        own_parts = self.path.split('.')
+        """Return whether the limit applies to the path; `*` matches any name."""
+        pattern_parts = self.path.split('.')
         path_parts = path.split('.')
-        return len(own_parts) == len(path_parts) and all(
-            own in {'*', part} for own, part in zip(own_parts, path_parts, strict=True)
+        return len(pattern_parts) == len(path_parts) and all(
+            pattern in {'*', part} for pattern, part in zip(pattern_parts, path_parts, strict=True)
         )
--- a/comfreywind/bundle/digest.py
+++ b/comfreywind/bundle/digest.py
@@ -1,4 +1,4 @@
-"""Digest of a bundle's content."""
+"""Computes the digest of a bundle's content."""
 
 import hashlib
 import json
--- a/comfreywind/bundle/models.py
+++ b/comfreywind/bundle/models.py
@@ -1,4 +1,4 @@
-"""Border models of a rule bundle as operators write it."""
+"""Input models of a rule bundle as operators write it."""
 
 from typing import Annotated, Literal
 
@@ -9,13 +9,13 @@
 
 
 class BundleModel(BaseModel):
-    """A model that refuses unknown keys and can't be changed."""
+    """An immutable model that rejects unknown keys."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
 class TeamModel(BundleModel):
-    """A team: its weight in fair sharing and its ceiling of requests running at once."""
+    """A team: its weight in fair sharing and its ceiling of concurrent requests."""
 
     weight: float = Field(default=1, gt=0)
     ceiling_units: int = Field(ge=0)
@@ -48,7 +48,7 @@
 
 
 class ObjectiveModel(BundleModel):
-    """A service-level objective for a queue: share answered in time over 30 days."""
+    """A service-level objective for a queue: ratio of requests answered in time over 30 days."""
 
     queue: NamePattern
     success_ratio: Ratio = 0.999
--- a/comfreywind/bundle/overlay.py
+++ b/comfreywind/bundle/overlay.py
@@ -1,4 +1,4 @@
-"""Applies the overlays of branches to the central rules."""
+"""Validates the overlays of branches and applies them to the central rules."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """One field that a branch changes."""
+    """A field of the central rules that a branch overrides."""
 
     branch: str
     path: str
@@ -17,7 +17,7 @@
 
 
 def list_overrides(source: BundleSource) -> Iterator[Override]:
-    """Return every field that a branch changes."""
+    """Yield every field that a branch overrides."""
     for branch, overlay in source.branches.items():
         for section, entries in overlay.items():
             for name, fields in entries.items():
@@ -26,20 +26,20 @@
 
 
 def find_overlay_faults(source: BundleSource) -> Iterator[str]:
-    """Return the key path and reason of each override that the central rules don't allow."""
-    changed_by: dict[str, str] = {}
+    """Yield the key path and reason of each override that the central rules don't allow."""
+    branch_by_path: dict[str, str] = {}
     for override in list_overrides(source):
         location = f'branches.{override.branch}.{override.path}'
-        reason = _find_reason(source, override)
+        reason = _explain_rejection(source, override)
         if reason is not None:
             yield f'{location}: {reason}'
-        other_branch = changed_by.setdefault(override.path, override.branch)
+        other_branch = branch_by_path.setdefault(override.path, override.branch)
         if other_branch != override.branch:
             yield f'{location}: branch {other_branch!r} changes the same field'
 
 
 def apply_overlays(source: BundleSource) -> dict[str, Any]:
-    """Return the document of the central rules with all overrides applied."""
+    """Return the central rules as a document with all overrides applied."""
     document = source.model_dump(mode='json', exclude={'branches', 'branch_limits'})
     for override in list_overrides(source):
         section, name, field_name = override.path.split('.')
@@ -47,7 +47,7 @@
     return document
 
 
-def _find_reason(source: BundleSource, override: Override) -> str | None:
+def _explain_rejection(source: BundleSource, override: Override) -> str | None:
     section, name, field_name = override.path.split('.')
     rules_section = getattr(source, section, None)
     if not isinstance(rules_section, dict) or name not in rules_section:
--- a/comfreywind/bundle/parse.py
+++ b/comfreywind/bundle/parse.py
@@ -1,4 +1,4 @@
-"""Turns a bundle document into rules and checks what no single field can tell."""
+"""Converts a bundle document to rules and validates references and relations between fields."""
 
 from collections.abc import Iterable, Iterator
 
@@ -13,7 +13,7 @@
 def parse_bundle(document: object, source: str) -> BundleDocument:
     """Return the central rules with the branches' overlays applied.
 
-    Raises BundleError naming source, key path and reason of everything that is wrong.
+    Raises BundleError with the source and with key path and reason of the faults found.
     """
     bundle_source = validate_model(BundleSource, document, source, BundleError)
     _raise_faults(source, find_overlay_faults(bundle_source))
@@ -27,7 +27,7 @@
 
 
 def make_rules(bundle: BundleDocument, version: int) -> Rules:
-    """Return the rules of a checked bundle."""
+    """Return the rules of a validated bundle."""
     return Rules(
         version=version,
         teams={name: TeamRules(name, **dict(team)) for name, team in bundle.teams.items()},
--- a/comfreywind/bundle/rules.py
+++ b/comfreywind/bundle/rules.py
@@ -1,4 +1,4 @@
-"""Rules in force, as the rest of the program uses them."""
+"""Validated rules as the rest of the program uses them."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamRules:
-    """A team's weight in fair sharing and its ceiling of requests running at once."""
+    """A team's weight in fair sharing and its ceiling of concurrent requests."""
 
     name: str
     weight: float
@@ -19,8 +19,8 @@
 class PoolRules:
     """A pool's run time limit, executor limits, availability budget and maintenance.
 
-    Every VM is maintained once in `maintenance_period_s`; waves start `maintenance_lead_s` earlier.
-    A borrowed spare VM stays for at least `spare_hold_s`.
+    Every VM is maintained once per `maintenance_period_s`; waves start `maintenance_lead_s` before
+    the end of the period. A borrowed spare VM stays for at least `spare_hold_s`.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueRules:
-    """A queue's pool, the teams that may use it, its order and its length limit."""
+    """A queue's pool, the teams that may use it, its urgency and its length limit."""
 
     name: str
     pool: str
@@ -70,5 +70,5 @@
 
     @property
     def longest_run_s(self) -> float:
-        """Return the longest time in seconds that any request may run."""
+        """Return the longest run time limit of all pools, in seconds."""
         return max(pool.max_run_s for pool in self.pools.values())
--- a/comfreywind/bundle/source.py
+++ b/comfreywind/bundle/source.py
@@ -1,4 +1,4 @@
-"""A bundle as operators write it: the central rules, the limits of branches and their overlays."""
+"""A bundle as operators write it: central rules, limits on overrides and overlays of branches."""
 
 from pydantic import Field
 
--- a/comfreywind/report/bucket_codec.py
+++ b/comfreywind/report/bucket_codec.py
@@ -1,4 +1,4 @@
-"""Stores result buckets as JSON documents."""
+"""Encodes and decodes result buckets as JSON documents."""
 
 from collections import Counter
 from datetime import datetime
@@ -12,7 +12,7 @@
 
 
 class BucketDocument(BaseModel):
-    """A bucket as it is stored; the keys of `counts` are `queue/team`."""
+    """Stored form of a bucket; the keys of `counts` are `queue/team`."""
 
     model_config = ConfigDict(extra='forbid')
 
--- a/comfreywind/report/burn_codec.py
+++ b/comfreywind/report/burn_codec.py
@@ -1,4 +1,4 @@
-"""The burn report as a JSON document and back."""
+"""Encodes and decodes the burn report as a JSON document."""
 
 from dataclasses import asdict
 from typing import Any
--- a/comfreywind/report/burn_html.py
+++ b/comfreywind/report/burn_html.py
@@ -1,4 +1,4 @@
-"""The burn report as a self-contained HTML page with plots."""
+"""Renders the burn report as a self-contained HTML page with bars."""
 
 import html
 
@@ -18,7 +18,7 @@
 
 
 def format_burn_html(report: BurnReport) -> str:
-    """Return the page; it loads nothing from elsewhere."""
+    """Return the page, which loads no external resources."""
     heading_cells = ''.join(f'<th>{heading}</th>' for heading in HEADINGS)
     rows = '\n'.join(_format_row(service) for service in report.services)
     return (
@@ -38,20 +38,20 @@
         f'<td>{html.escape(service.queue)}</td><td>{html.escape(service.team)}</td>'
         f'<td class="number">{service.success_ratio:.3%}</td>'
         f'<td class="number">{service.requests_count}</td>'
-        f'<td>{_draw_budget(service.budget_left_ratio)}</td>'
+        f'<td>{_format_budget_bar(service.budget_left_ratio)}</td>'
         f'<td>{html.escape(causes) or "-"}</td><td{alert_class}>{html.escape(alerts)}</td>'
     )
     return f'<tr>{cells}</tr>'
 
 
-def _draw_budget(left_ratio: float) -> str:
-    """Return a bar of the budget that is left, with its figure."""
-    shown_ratio = min(1, max(0, left_ratio))
-    colour = '#2b7a3d' if shown_ratio > LOW_BUDGET_RATIO else '#a3180d'
+def _format_budget_bar(remaining_ratio: float) -> str:
+    """Return an SVG bar of the remaining error budget, followed by its percentage."""
+    clamped_ratio = min(1, max(0, remaining_ratio))
+    colour = '#2b7a3d' if clamped_ratio > LOW_BUDGET_RATIO else '#a3180d'
     return (
         f'<svg width="{BAR_WIDTH_PX}" height="{BAR_HEIGHT_PX}" role="img" '
-        f'aria-label="{left_ratio:.1%} left">'
+        f'aria-label="{remaining_ratio:.1%} left">'
         f'<rect width="{BAR_WIDTH_PX}" height="{BAR_HEIGHT_PX}" fill="#e6e6e6"/>'
-        f'<rect width="{BAR_WIDTH_PX * shown_ratio:.0f}" height="{BAR_HEIGHT_PX}" '
-        f'fill="{colour}"/></svg> {left_ratio:.1%}'
+        f'<rect width="{BAR_WIDTH_PX * clamped_ratio:.0f}" height="{BAR_HEIGHT_PX}" '
+        f'fill="{colour}"/></svg> {remaining_ratio:.1%}'
     )
--- a/comfreywind/report/burn_report.py
+++ b/comfreywind/report/burn_report.py
@@ -1,4 +1,4 @@
-"""Computes service-level burn from result buckets."""
+"""Computes the burn of error budgets from result buckets."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowBurn:
-    """Burn rates of one pair of windows: 1 spends the budget exactly in its period."""
+    """Burn rates of a pair of windows; at rate 1 the budget lasts exactly for its period."""
 
     name: str
     long_burn_ratio: float
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceBurn:
-    """Burn of one queue, for one team or for all of them."""
+    """Error budget and burn rates of a queue, for one team or all teams."""
 
     queue: str
     team: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnReport:
-    """Burn of all services at one time."""
+    """Burn of all services at the time `at`."""
 
     at: datetime
     services: tuple[ServiceBurn, ...]
@@ -57,12 +57,14 @@
         keys = sorted(
             {key for bucket in hours for key in bucket.counts if key[0] == objective.queue}
         )
-        services.append(_measure(at, objective, (objective.queue, ALL_TEAMS), minutes, hours))
-        services.extend(_measure(at, objective, key, minutes, hours) for key in keys)
+        services.append(
+            _compute_service_burn(at, objective, (objective.queue, ALL_TEAMS), minutes, hours)
+        )
+        services.extend(_compute_service_burn(at, objective, key, minutes, hours) for key in keys)
     return BurnReport(at, tuple(services))
 
 
-def _measure(
+def _compute_service_burn(
     at: datetime,
     objective: Objective,
     key: ServiceKey,
@@ -73,8 +75,12 @@
     allowed_ratio = 1 - objective.success_ratio
     windows = []
     for window in BURN_WINDOWS:
-        long_burn = _burn_rate(_sum_counts(at, window.long, key, minutes, hours), allowed_ratio)
-        short_burn = _burn_rate(_sum_counts(at, window.short, key, minutes, hours), allowed_ratio)
+        long_burn = _compute_burn_rate(
+            _sum_counts(at, window.long, key, minutes, hours), allowed_ratio
+        )
+        short_burn = _compute_burn_rate(
+            _sum_counts(at, window.short, key, minutes, hours), allowed_ratio
+        )
         firing = min(long_burn, short_burn) >= window.threshold_ratio
         windows.append(WindowBurn(window.name, long_burn, short_burn, firing))
     bad_by_cause = {
@@ -88,7 +94,7 @@
         success_ratio=objective.success_ratio,
         requests_count=period_counts.total(),
         bad_by_cause=bad_by_cause,
-        budget_left_ratio=1 - _burn_rate(period_counts, allowed_ratio),
+        budget_left_ratio=1 - _compute_burn_rate(period_counts, allowed_ratio),
         windows=tuple(windows),
     )
 
@@ -100,7 +106,10 @@
     minutes: list[ResultBucket],
     hours: list[ResultBucket],
 ) -> Counter[str]:
-    """Return the results in the window before `at`; long windows are summed from hours."""
+    """Return the result counts in the window before `at`.
+
+    Windows above `LONGEST_MINUTE_WINDOW` are summed from the buckets of an hour.
+    """
     buckets = minutes if window <= LONGEST_MINUTE_WINDOW else hours
     total: Counter[str] = Counter()
     for bucket in buckets:
@@ -120,7 +129,7 @@
     return total
 
 
-def _burn_rate(counts: Counter[str], allowed_ratio: float) -> float:
+def _compute_burn_rate(counts: Counter[str], allowed_ratio: float) -> float:
     total = counts.total()
     if not total:
         return 0
--- a/comfreywind/report/burn_reporter.py
+++ b/comfreywind/report/burn_reporter.py
@@ -10,10 +10,10 @@
 
 
 class BurnReporter:
-    """Writes this process's newest counts, then reads those of all processes."""
+    """Writes the current counts of this process, then reports on those of all processes."""
 
     def __init__(self, store: SummaryStore, recorder: ResultRecorder, clock: Clock) -> None:
-        """Use the given parts."""
+        """Use the given store, recorder and clock."""
         self._store = store
         self._recorder = recorder
         self._clock = clock
--- a/comfreywind/report/burn_text.py
+++ b/comfreywind/report/burn_text.py
@@ -1,4 +1,4 @@
-"""The burn report as text."""
+"""Renders the burn report as text."""
 
 from comfreywind.report.burn_report import BurnReport, ServiceBurn
 
@@ -6,7 +6,7 @@
 
 
 def format_burn_text(report: BurnReport) -> str:
-    """Return the report as a table with the causes below each service."""
+    """Return the report as a table with the causes of bad results below each service."""
     heading = COLUMNS.format(
         queue='queue',
         team='team',
--- a/comfreywind/report/decision_log.py
+++ b/comfreywind/report/decision_log.py
@@ -1,4 +1,4 @@
-"""The newest decisions of this process."""
+"""In-memory log of the latest decisions of this process."""
 
 from collections import deque
 
@@ -10,21 +10,21 @@
 
 
 class DecisionLog:
-    """Keeps a bounded number of decisions, newest last, and apart from them the newest requests.
+    """Keeps the latest decisions and, in a separate ring buffer, the latest requests.
 
-    Requests are many, so they have a ring of their own and are not flushed to the object store.
+    Requests are too many to share a buffer with other decisions or to be flushed to the object store.
     """
 
     def __init__(self, clock: Clock, capacity_records: int = CAPACITY_RECORDS) -> None:
-        """Start empty."""
+        """Create an empty log."""
         self._clock = clock
         self._records: deque[DecisionRecord] = deque(maxlen=capacity_records)
         self._requests: deque[DecisionRecord] = deque(maxlen=capacity_records)
         self._unflushed_count = 0
 
     def record(self, kind: str, subject: str, cause: str, **inputs: object) -> None:
-        """Keep a decision; the oldest one is dropped when the log is full."""
-        texts = {name: str(figure) for name, figure in inputs.items()}
+        """Append a decision; the oldest one is dropped when the log is full."""
+        texts = {name: str(input_value) for name, input_value in inputs.items()}
         decision = DecisionRecord(self._clock.read_utc(), kind, subject, cause, texts)
         if kind == KIND_REQUEST:
             self._requests.append(decision)
@@ -41,5 +41,5 @@
         return list(self._records)[len(self._records) - self._unflushed_count :]
 
     def mark_flushed(self, count: int) -> None:
-        """Note that so many of the oldest unflushed decisions are in the object store."""
+        """Mark the `count` oldest unflushed decisions as stored in the object store."""
         self._unflushed_count = max(0, self._unflushed_count - count)
--- a/comfreywind/report/decision_record.py
+++ b/comfreywind/report/decision_record.py
@@ -9,8 +9,8 @@
 class DecisionRecord:
     """What was decided about which subject, when and why.
 
-    `kind` is such as `move`, `stop`, `ejection`, `portion`, `version` or `request`; `subject` is such
-    as `vm/crossings-1`; `inputs` holds the figures that the decision was made from.
+    `kind` is, for example, `move`, `stop`, `ejection`, `portion`, `version` or `request`; `subject`
+    is, for example, `vm/crossings-1`; `inputs` holds the values that the decision is based on.
     """
 
     at: datetime
@@ -20,7 +20,7 @@
     inputs: dict[str, str] = field(default_factory=dict)
 
     def to_document(self, entry: str) -> dict[str, Any]:
-        """Return the record as a JSON document that names the entry which decided."""
+        """Return the record as a JSON document; `entry` is the name of the deciding entry."""
         return {
             'at': self.at.isoformat(timespec='milliseconds'),
             'entry': entry,
--- a/comfreywind/report/fleet_report.py
+++ b/comfreywind/report/fleet_report.py
@@ -1,4 +1,4 @@
-"""What an operator is told of queues, pools, teams and waves, read from the platform's store."""
+"""Reports on queues, pools, teams and waves, read from the platform's store."""
 
 from collections import Counter
 
@@ -46,7 +46,7 @@
 
 
 async def read_pool_report(rows: RowsClient) -> list[Cells]:
-    """Return the pools: name, whether on standby, targets ready and draining, cores ready."""
+    """Return the pools: name, standby or working, ready and draining targets, ready cores."""
     rules = await _read_rules(rows)
     states: Counter[tuple[str, bool]] = Counter()
     millicores: Counter[str] = Counter()
@@ -70,7 +70,7 @@
 
 
 async def read_team_report(rows: RowsClient) -> list[Cells]:
-    """Return the teams: name, weight, ceiling, keys in force."""
+    """Return the teams: name, weight, ceiling, number of valid keys."""
     rules = await _read_rules(rows)
     keys = Counter(rules.teams_by_key.values())
     return [
@@ -80,7 +80,7 @@
 
 
 async def read_wave_report(rows: RowsClient) -> list[Cells]:
-    """Return the waves of upkeep: number, VMs, done, most at once, seconds granted."""
+    """Return the maintenance waves: number, VMs, VMs done, limit of concurrent VMs, duration in s."""
     done_row = await rows.read_row(TABLE_TERM, HOLDER_PARTITION, MAINTENANCE_KEY)
     done = decode_maintenance(done_row.payload)
     waves: list[Cells] = []
@@ -101,7 +101,7 @@
 
 
 async def _read_jobs(rows: RowsClient) -> list[Job]:
-    """Return the stored jobs without those that are being removed."""
+    """Return the stored jobs, except those that are being removed."""
     accepted = [
         decode_intake_row(row.payload)
         for page in await rows.read_partitions(TABLE_INTAKE, INTAKE_PARTITIONS)
--- a/comfreywind/report/job_report.py
+++ b/comfreywind/report/job_report.py
@@ -1,4 +1,4 @@
-"""What an operator is told of jobs, read from the rows in the platform's store."""
+"""Reports on jobs and on the holder, read from the platform's store."""
 
 from functools import singledispatch
 
@@ -24,8 +24,8 @@
 
 
 async def read_job_report(rows: RowsClient, job_id: str) -> list[ReportRow]:
-    """Return names and values that describe a job; raise JobMissingError when there is none."""
-    # Progress is removed before the last row of a job.
+    """Return the names and values of a job's report; raise JobMissingError if it is not stored."""
+    # Read progress first: it is removed before the last row of a job.
     progress_row = await rows.read_row(TABLE_PROGRESS, compute_progress_partition(job_id), job_id)
     job_row = await rows.read_row(TABLE_INTAKE, compute_intake_partition(job_id), job_id)
     if job_row.payload is None:
@@ -35,7 +35,7 @@
 
 
 async def read_holder_report(rows: RowsClient) -> list[ReportRow]:
-    """Return who holds the term and how many jobs of each queue have not begun."""
+    """Return the holder of the term and the number of pending jobs by queue."""
     row = await rows.read_row(TABLE_TERM, TERM_PARTITION, TERM_KEY)
     term = decode_term(row.payload) if row.payload else TermRow('', 0)
     state = 'released' if term.released else 'held'
@@ -46,7 +46,7 @@
 
 @singledispatch
 def describe_job(accepted: object, progress: Progress) -> list[ReportRow]:
-    """Return names and values: state, what is done of each step, and why the job has not ended."""
+    """Return names and values: state, tasks done by step, and why the job has not ended."""
     raise TypeError(f'unknown row of a job {accepted!r}')
 
 
@@ -60,7 +60,7 @@
 
 
 @describe_job.register
-def _describe_kept(job: Job, progress: Progress) -> list[ReportRow]:
+def _describe_job(job: Job, progress: Progress) -> list[ReportRow]:
     report: list[ReportRow] = [
         ('state', progress.state.value),
         ('team', job.team or OPEN_TO_ALL),
@@ -80,7 +80,7 @@
 
 
 def _explain_wait(job: Job, progress: Progress) -> str:
-    """Say what the job waits for, as far as its rows tell; the holder's log has the rest."""
+    """Return what the job waits for, as far as its rows show it; the holder's log has more."""
     if job.long_running:
         return 'its cancelling; lasting tasks run until then'
     if job.occurrence_count:
--- a/comfreywind/report/request_facts.py
+++ b/comfreywind/report/request_facts.py
@@ -1,11 +1,11 @@
-"""What the reports know of one request that has ended."""
+"""Facts about an ended request that the reports use."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """Queue, team, result and duration of a request; `reason` is empty for an answer."""
+    """Queue, team, result and duration of a request; `reason` is empty unless it was refused."""
 
     request_id: str
     queue: str
--- a/comfreywind/report/result_bucket.py
+++ b/comfreywind/report/result_bucket.py
@@ -1,4 +1,4 @@
-"""Counts of results in one span of time."""
+"""Counts of results in one time interval."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class ResultBucket:
-    """Results counted by (queue, team) from `start` on, over `span_s` seconds."""
+    """Results by (queue, team) in the `span_s` seconds from `start`."""
 
     start: datetime
     span_s: int
--- a/comfreywind/report/result_recorder.py
+++ b/comfreywind/report/result_recorder.py
@@ -1,4 +1,4 @@
-"""Counts the results of this process in buckets of a minute and of an hour."""
+"""Counts the results of this process in buckets of one minute and one hour."""
 
 from datetime import datetime, timedelta
 
@@ -7,37 +7,37 @@
 
 MINUTE_S = 60
 HOUR_S = 3600
-KEPT_MINUTES = timedelta(hours=7)
-KEPT_HOURS = timedelta(days=31)
+MINUTE_RETENTION = timedelta(hours=7)
+HOUR_RETENTION = timedelta(days=31)
 
 
 class ResultRecorder:
-    """Keeps the minutes of the last 7 hours and the hours of the last 31 days."""
+    """Keeps minute buckets for 7 hours and hour buckets for 31 days."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty."""
+        """Create an empty recorder."""
         self._clock = clock
         self._minutes: dict[datetime, ResultBucket] = {}
         self._hours: dict[datetime, ResultBucket] = {}
 
     def add(self, queue: str, team: str, result: str) -> None:
-        """Count one result now."""
+        """Count one result at the current time."""
         now = self._clock.read_utc()
         minute_start = now.replace(second=0, microsecond=0)
         hour_start = minute_start.replace(minute=0)
-        _find_bucket(self._minutes, minute_start, MINUTE_S).add(queue, team, result)
-        _find_bucket(self._hours, hour_start, HOUR_S).add(queue, team, result)
+        _get_or_add_bucket(self._minutes, minute_start, MINUTE_S).add(queue, team, result)
+        _get_or_add_bucket(self._hours, hour_start, HOUR_S).add(queue, team, result)
 
     def list_minutes(self) -> list[ResultBucket]:
-        """Return the kept minutes, oldest first, and drop older ones."""
-        return _list_kept(self._minutes, self._clock.read_utc() - KEPT_MINUTES)
+        """Delete expired minute buckets and return the others, oldest first."""
+        return _prune_and_list(self._minutes, self._clock.read_utc() - MINUTE_RETENTION)
 
     def list_hours(self) -> list[ResultBucket]:
-        """Return the kept hours, oldest first, and drop older ones."""
-        return _list_kept(self._hours, self._clock.read_utc() - KEPT_HOURS)
+        """Delete expired hour buckets and return the others, oldest first."""
+        return _prune_and_list(self._hours, self._clock.read_utc() - HOUR_RETENTION)
 
 
-def _find_bucket(
+def _get_or_add_bucket(
     buckets: dict[datetime, ResultBucket], start: datetime, span_s: int
 ) -> ResultBucket:
     bucket = buckets.get(start)
@@ -47,7 +47,7 @@
     return bucket
 
 
-def _list_kept(buckets: dict[datetime, ResultBucket], oldest: datetime) -> list[ResultBucket]:
+def _prune_and_list(buckets: dict[datetime, ResultBucket], oldest: datetime) -> list[ResultBucket]:
     expired = [start for start in buckets if start < oldest]
     for start in expired:
         buckets.pop(start)
--- a/comfreywind/report/service_result.py
+++ b/comfreywind/report/service_result.py
@@ -4,9 +4,9 @@
 
 from comfreywind.report.request_facts import RequestFacts
 
-LOWEST_SERVER_ERROR = 500
-# The caller's own mistakes say nothing about the service.
-CALLER_FAULTS = frozenset(
+FIRST_SERVER_ERROR_STATUS = 500
+# Refusals that are the caller's fault do not count against the objective.
+CALLER_FAULT_REASONS = frozenset(
     (
         'key-missing',
         'key-unknown',
@@ -25,7 +25,7 @@
 
 
 class ServiceResult(enum.StrEnum):
-    """How a request counts; refusals are counted under their reason instead."""
+    """Result of a request that was not refused; a refusal is counted under its reason."""
 
     GOOD = 'good'
     LATE = 'late'
@@ -34,12 +34,12 @@
 
 
 def classify_request(facts: RequestFacts, latency_limit_s: float) -> str | None:
-    """Return a service result or the reason of a refusal; None when it does not count."""
+    """Return the service result or the reason of a refusal; None for a fault of the caller."""
     if facts.reason:
-        return None if facts.reason in CALLER_FAULTS else facts.reason
+        return None if facts.reason in CALLER_FAULT_REASONS else facts.reason
     if not facts.complete:
         return ServiceResult.BROKEN_OFF.value
-    if facts.status >= LOWEST_SERVER_ERROR:
+    if facts.status >= FIRST_SERVER_ERROR_STATUS:
         return ServiceResult.TARGET_ERROR.value
     if facts.duration_s > latency_limit_s:
         return ServiceResult.LATE.value
--- a/comfreywind/report/summary_store.py
+++ b/comfreywind/report/summary_store.py
@@ -1,4 +1,4 @@
-"""Leaves result summaries with the platform, so that they outlive the entry."""
+"""Stores result summaries on the platform, so that they outlive the entry."""
 
 import logging
 
@@ -23,52 +23,59 @@
 class SummaryStore:
     """Writes the summaries of one process and reads those of all.
 
-    Each process has two objects of its own, for minutes and hours, named by entry and incarnation,
-    so that a replaced process never overwrites what its predecessor counted. One row of the table
-    `summaries` for each process tells which objects there are.
+    Each process has two objects, for minutes and hours, named by entry and incarnation, so that a
+    new process never overwrites the counts of its predecessor. The table `summaries` has a row for
+    each process, from which the object names follow.
     """
 
     def __init__(self, tables: TableClient, objects: ObjectClient, process_name: str) -> None:
-        """Use the given clients; the process name holds entry name and incarnation."""
+        """Use the given clients; the process name consists of entry name and incarnation."""
         self._tables = tables
         self._objects = objects
         self._process_name = process_name
-        self._listed = False
+        self._row_written = False
 
     async def run(self, recorder: ResultRecorder, interval_s: float) -> None:
-        """Write the summaries in a fixed period for ever; a failed write is made up by the next."""
+        """Write the summaries every `interval_s` seconds until cancelled.
+
+        Each write holds all counts, so the next one makes up for a failed one.
+        """
         while True:
             await trio.sleep(interval_s)
             try:
                 await self.write(recorder)
             except PlatformError as error:
-                log.warning('the summaries were not written: %s', error)
+                log.warning(
+                    'failed to write the result summaries, the next write retries: %s', error
+                )
 
     async def write(self, recorder: ResultRecorder) -> None:
-        """Write the summaries once."""
+        """Write both objects and, the first time, the row of this process."""
         minutes = encode_buckets(recorder.list_minutes())
         hours = encode_buckets(recorder.list_hours())
-        await self._objects.write(self._name_object(self._process_name, KIND_MINUTES), minutes)
-        await self._objects.write(self._name_object(self._process_name, KIND_HOURS), hours)
-        if not self._listed:
-            await self._list_process()
+        await self._objects.write(
+            self._format_object_name(self._process_name, KIND_MINUTES), minutes
+        )
+        await self._objects.write(self._format_object_name(self._process_name, KIND_HOURS), hours)
+        if not self._row_written:
+            await self._write_process_row()
 
     async def read(self, kind: str) -> list[ResultBucket]:
-        """Return the buckets of one kind from all processes."""
+        """Return the buckets of the kind, minutes or hours, from all processes."""
         changes = await self._tables.read_changes(0, (TABLE_SUMMARIES,))
         buckets: list[ResultBucket] = []
         for row in changes.rows:
-            document = await self._objects.read(self._name_object(row.key, kind))
+            document = await self._objects.read(self._format_object_name(row.key, kind))
             buckets.extend(decode_buckets(document))
         return buckets
 
-    async def _list_process(self) -> None:
+    async def _write_process_row(self) -> None:
         write = RowWrite(TABLE_SUMMARIES, self._process_name, None, {'kinds': list(KINDS)})
         try:
             await self._tables.commit([write])
         except RowConflictError:
-            log.info('the summaries of %s are listed already', self._process_name)
-        self._listed = True
+            log.info('the row of the summaries of %s exists already', self._process_name)
+        self._row_written = True
 
-    def _name_object(self, process_name: str, kind: str) -> str:
+    def _format_object_name(self, process_name: str, kind: str) -> str:
         return f'summaries-{process_name}-{kind}'
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -1,4 +1,4 @@
-"""Rule bundles: what is accepted, what is refused and why."""
+"""Validation of rule bundles and of the overlays of branches."""
 
 import copy
 from pathlib import Path
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize(('changes', 'expected'), FAULT_CASES)
 def test_bad_bundle_is_refused(changes: dict[str, Any], expected: str) -> None:
-    """Guards against a bad bundle being accepted, in part or without a reason."""
+    """An invalid bundle is rejected as a whole, with the source, key path and reason."""
     with pytest.raises(BundleError) as caught:
         parse_bundle(make_bundle(**changes), 'central.yaml')
     assert 'central.yaml: ' in str(caught.value)
@@ -60,7 +60,7 @@
 
 
 def test_branch_changes_what_it_may() -> None:
-    """Guards against an allowed override that is lost or reaches other teams."""
+    """An allowed override takes effect for its own team only."""
     document = make_bundle(
         branch_limits=[WEIGHT_LIMIT], branches={'north': {'teams': {'rosters': {'weight': 2}}}}
     )
@@ -70,7 +70,7 @@
 
 
 def test_check_with_branch_file(tmp_path: Path) -> None:
-    """Guards against `bundle check` passing over the overlay files."""
+    """`bundle check` validates the overlay files of branches, too."""
     central = tmp_path / 'central.yaml'
     central.write_text(yaml.safe_dump(make_bundle(branch_limits=[WEIGHT_LIMIT])))
     branch = tmp_path / 'north.yaml'
